--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -3,7 +3,7 @@
 use std::{collections, sync, time};
 
 use rhubarb_core::{ids, list};
-use rhubarb_node::{clock, editions, instances};
+use rhubarb_node::{clock, instances, service_list};
 use rhubarb_wire::message;
 
 use crate::agent;
@@ -46,12 +46,12 @@
 pub(crate) fn copy(agent: &agent::Agent, version: ids::ListVersion) -> Option<message::ListCopy> {
     let state = agent.lock();
     let update = state.editions.update_from(version)?;
-    Some(editions::write_copy(update, serde_json::json!(state.instances).to_string()))
+    Some(service_list::to_list_copy(update, serde_json::json!(state.instances).to_string()))
 }
 
 /// Takes a list from a peer; where its changes do not fit, the table is asked.
 pub(crate) fn take_copy(agent: &agent::Agent, copy: &message::ListCopy) {
-    for news in editions::read_copy(copy) {
+    for news in service_list::from_list_copy(copy) {
         if !take(agent, &news) && is_behind(agent, copy.version) {
             agent.list_wanted.notify_one();
         }
@@ -59,9 +59,9 @@
 }
 
 /// Takes news; tells whether a newer list is in force now.
-fn take(agent: &agent::Agent, news: &editions::News) -> bool {
+fn take(agent: &agent::Agent, news: &service_list::ListUpdate) -> bool {
     let mut state = agent.lock();
-    if editions::take_news(&mut state.editions, news).is_none() {
+    if service_list::apply_update(&mut state.editions, news).is_none() {
         return false;
     }
     let version = state.editions.version();
@@ -129,7 +129,7 @@
 async fn poll(agent: &agent::Agent) {
     loop {
         let version = agent.lock().editions.version();
-        let news = match editions::read_news(&agent.table, version).await {
+        let news = match service_list::read_update(&agent.table, version).await {
             Ok(news) => news,
             Err(err) => return tracing::debug!("agent: list not read: {err}"),
         };
@@ -137,8 +137,8 @@
             continue;
         }
         // A change that does not fit the edition in force: the whole list replaces it.
-        if matches!(news, editions::News::Change(_, _))
-            && let Ok(whole) = editions::read_news(&agent.table, 0).await
+        if matches!(news, service_list::ListUpdate::Change(_, _))
+            && let Ok(whole) = service_list::read_update(&agent.table, 0).await
         {
             take(agent, &whole);
         }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 
 use rhubarb_core::{change, edition};
-use rhubarb_node::{client, clock, editions, instances, platform, table};
+use rhubarb_node::{client, clock, instances, platform, service_list, table};
 
-use editions::LIST_KEY;
+use service_list::LIST_KEY;
 
 use crate::settings;
 
@@ -214,8 +214,8 @@
     };
     vec![
         write(LIST_KEY, expected, json!(content).to_string()),
-        write(editions::HEAD_KEY, expected, String::new()),
-        write(&editions::change_key(expected + 1), 0, change),
+        write(service_list::HEAD_KEY, expected, String::new()),
+        write(&service_list::change_key(expected + 1), 0, change),
     ]
 }
 
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -6,7 +6,7 @@
 use tokio::sync as lock;
 
 use rhubarb_core::ids;
-use rhubarb_node::{clock, editions, instances, locks};
+use rhubarb_node::{clock, instances, locks, service_list};
 use rhubarb_wire::message;
 
 use crate::view;
@@ -44,7 +44,7 @@
     }
 
     /// Takes news; tells whether a newer list is in force now.
-    pub(crate) fn take(&self, news: &editions::News) -> bool {
+    pub(crate) fn take(&self, news: &service_list::ListUpdate) -> bool {
         let is_new = self.view().take_news(news, clock::now());
         if is_new {
             let version = self.view().version();
@@ -56,7 +56,7 @@
 
     /// Takes a list from an agent.
     pub(crate) fn take_copy(&self, copy: &message::ListCopy) {
-        for news in editions::read_copy(copy) {
+        for news in service_list::from_list_copy(copy) {
             self.take(&news);
         }
         let mut view = self.view();
@@ -75,7 +75,7 @@
         let view = self.view();
         let update = view.update_from(version)?;
         let seen: Vec<_> = view.instances.values().collect();
-        Some(editions::write_copy(update, serde_json::json!(seen).to_string()))
+        Some(service_list::to_list_copy(update, serde_json::json!(seen).to_string()))
     }
 
     /// Whether an agent that is behind is to be sent the list by this entry.
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -3,7 +3,7 @@
 use std::{sync, time};
 
 use rhubarb_core::ids;
-use rhubarb_node::{clock, editions, instances};
+use rhubarb_node::{clock, instances, service_list};
 use rhubarb_wire::message;
 
 use crate::entry;
@@ -45,9 +45,9 @@
 async fn poll(entry: &Shared) -> bool {
     loop {
         let version = entry.directory.view().version();
-        match editions::read_news(&entry.table, version).await {
+        match service_list::read_update(&entry.table, version).await {
             Ok(news) if entry.directory.take(&news) => {}
-            Ok(editions::News::Change(_, _)) => return take_whole(entry).await,
+            Ok(service_list::ListUpdate::Change(_, _)) => return take_whole(entry).await,
             Ok(_) => return true,
             Err(err) => {
                 tracing::debug!("entry: list not read: {err}");
@@ -59,7 +59,7 @@
 
 // For a change that does not fit the edition in force.
 async fn take_whole(entry: &Shared) -> bool {
-    match editions::read_news(&entry.table, 0).await {
+    match service_list::read_update(&entry.table, 0).await {
         Ok(news) => {
             entry.directory.take(&news);
             true
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -5,7 +5,7 @@
 use subtle::ConstantTimeEq;
 
 use rhubarb_core::{budget, editions, fair, home, ids, list, load, pace, pool, subset};
-use rhubarb_node::{editions as news, instances};
+use rhubarb_node::{instances, service_list};
 
 /// Pools by service and role.
 pub(crate) type PoolKey = (ids::ServiceName, list::Role);
@@ -67,8 +67,14 @@
     }
 
     /// Takes news of the list; tells whether a newer one is in force now.
-    pub(crate) fn take_news(&mut self, news: &news::News, now: time::Instant) -> bool {
-        let Some(touched) = news::take_news(&mut self.editions, news) else { return false };
+    pub(crate) fn take_news(
+        &mut self,
+        news: &service_list::ListUpdate,
+        now: time::Instant,
+    ) -> bool {
+        let Some(touched) = service_list::apply_update(&mut self.editions, news) else {
+            return false;
+        };
         match touched {
             editions::Touched::All => {
                 self.digests.clear();
--- a/crates/node/src/editions.rs
+++ b/crates/node/src/service_list.rs
@@ -22,7 +22,7 @@
 
 /// Text from the table that brings a process up to date.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum ListUpdate {
     /// Nothing is newer.
     None,
     /// The change that makes a version.
@@ -32,42 +32,45 @@
 }
 
 /// Most changes that are read one by one; beyond, the whole row is read.
-const MAX_BEHIND: u64 = 64;
+const MAX_REVISIONS_BEHIND: u64 = 64;
 
 /// Reads what follows `version`.
 ///
 /// # Errors
 /// Returns an error while the table is away.
-pub async fn read_news(
+pub async fn read_update(
     table: &table::Table,
     version: ids::ListVersion,
-) -> Result<News, PlatformError> {
+) -> Result<ListUpdate, PlatformError> {
     let head = table.read(HEAD_KEY).await?.map_or(0, |row| row.version);
     if head <= version {
-        return Ok(News::None);
+        return Ok(ListUpdate::None);
     }
     if version > 0
-        && head - version <= MAX_BEHIND
+        && head - version <= MAX_REVISIONS_BEHIND
         && let Some(row) = table.read(&change_key(version + 1)).await?
         && !row.value.is_empty()
     {
-        return Ok(News::Change(version + 1, row.value));
+        return Ok(ListUpdate::Change(version + 1, row.value));
     }
     let row = table.read(LIST_KEY).await?;
-    Ok(row.map_or(News::None, |row| News::Row(row.version, row.value)))
+    Ok(row.map_or(ListUpdate::None, |row| ListUpdate::Row(row.version, row.value)))
 }
 
 /// Takes news into `editions`; a change that does not fit makes the whole row be read next.
-pub fn take_news(editions: &mut editions::Editions, news: &News) -> Option<editions::Touched> {
-    match news {
-        News::None => None,
-        News::Change(version, text) => editions.take_change(*version, text),
-        News::Row(version, row) => editions.take_row(*version, row),
+pub fn apply_update(
+    editions: &mut editions::Editions,
+    update: &ListUpdate,
+) -> Option<editions::Touched> {
+    match update {
+        ListUpdate::None => None,
+        ListUpdate::Change(version, text) => editions.take_change(*version, text),
+        ListUpdate::Row(version, row) => editions.take_row(*version, row),
     }
 }
 
 /// Writes what a peer lacks as a message, with the last instance list in JSON.
-pub fn write_copy(update: editions::Update, instances: String) -> message::ListCopy {
+pub fn to_list_copy(update: editions::Update, instances: String) -> message::ListCopy {
     let (version, body) = match update {
         editions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
         editions::Update::Changes(version, changes) => {
@@ -78,12 +81,12 @@
 }
 
 /// Reads a message of a peer as news in order.
-pub fn read_copy(copy: &message::ListCopy) -> Vec<News> {
+pub fn from_list_copy(copy: &message::ListCopy) -> Vec<ListUpdate> {
     match &copy.body {
-        message::ListBody::Row(row) => vec![News::Row(copy.version, row.clone())],
+        message::ListBody::Row(row) => vec![ListUpdate::Row(copy.version, row.clone())],
         message::ListBody::Changes(changes) => {
             let numbered = (copy.version..).zip(changes);
-            numbered.map(|(version, text)| News::Change(version, text.clone())).collect()
+            numbered.map(|(version, text)| ListUpdate::Change(version, text.clone())).collect()
         }
     }
 }
