--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode, body};
 use serde_json::json;
 
-use rhubarb_node::{answer, clock, control};
+use rhubarb_node::{clock, control, response};
 
 use crate::agent;
 
@@ -13,32 +13,32 @@
 pub(crate) async fn handle(
     agent: sync::Arc<agent::Agent>,
     request: Request<body::Incoming>,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/metrics") => agent.metrics.registry.answer(),
-        (&Method::GET, "/healthz") => answer::text(StatusCode::OK, "ok\n"),
+        (&Method::GET, "/metrics") => agent.metrics.registry.response(),
+        (&Method::GET, "/healthz") => response::text(StatusCode::OK, "ok\n"),
         (&Method::GET, "/readyz") => ready(&agent),
-        (&Method::GET, "/status") => answer::json(StatusCode::OK, &status(&agent)),
+        (&Method::GET, "/status") => response::json(StatusCode::OK, &status(&agent)),
         (&Method::POST, "/drain") => drain(&agent, request.headers()),
-        _ => answer::text(StatusCode::NOT_FOUND, "use /metrics, /healthz, /readyz or /status\n"),
+        _ => response::text(StatusCode::NOT_FOUND, "use /metrics, /healthz, /readyz or /status\n"),
     }
 }
 
-fn drain(agent: &agent::Agent, headers: &hyper::HeaderMap) -> Response<answer::Body> {
+fn drain(agent: &agent::Agent, headers: &hyper::HeaderMap) -> Response<response::Body> {
     if !control::is_operator(&agent.settings.keys, headers) {
-        return answer::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
+        return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
     agent.lock().gate.leave();
     tracing::info!("agent: an operator asked it to leave");
-    answer::text(StatusCode::OK, "draining\n")
+    response::text(StatusCode::OK, "draining\n")
 }
 
-fn ready(agent: &agent::Agent) -> Response<answer::Body> {
+fn ready(agent: &agent::Agent) -> Response<response::Body> {
     let state = agent.lock();
     if state.loaded && !state.gate.is_leaving() {
-        answer::text(StatusCode::OK, "ready\n")
+        response::text(StatusCode::OK, "ready\n")
     } else {
-        answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready; see /status\n")
+        response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready; see /status\n")
     }
 }
 
--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, header};
 
 use rhubarb_fakes::caller;
-use rhubarb_node::{answer, client};
+use rhubarb_node::{client, response};
 
 /// Host of the routes of a stand-in's config.
 pub(crate) const HOST: &str = "x.example";
@@ -47,7 +47,7 @@
             request.headers_mut().insert(name, value);
         }
         let (head, body) = client.send(request, CALL_LIMIT).await?.into_parts();
-        let reading = answer::read_body(body, 1 << 20);
+        let reading = response::read_body(body, 1 << 20);
         let body = tokio::time::timeout(CALL_LIMIT, reading).await.unwrap_or(None);
         Ok(Reply {
             status: head.status.as_u16(),
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{Request, Response, StatusCode};
 
-use rhubarb_node::answer;
+use rhubarb_node::response;
 
 use crate::links;
 
@@ -41,7 +41,7 @@
 pub(crate) async fn read_whole(links: &links::Links, answered: links::Answered) -> Read {
     let told = links::told_limit(&answered.response);
     let (parts, body) = answered.response.into_parts();
-    let body = answer::read_body(body, MAX_ANSWER).await;
+    let body = response::read_body(body, MAX_ANSWER).await;
     if body.is_some() {
         links.keep(answered.link, told);
     }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -5,7 +5,7 @@
 use hyper::{Request, Response, StatusCode, body, header};
 
 use rhubarb_core::{outcome, routing};
-use rhubarb_node::{answer, clock, reply};
+use rhubarb_node::{clock, reply, response};
 use rhubarb_platform::request;
 
 use outcome::{Reason, Refusal};
@@ -22,7 +22,7 @@
 pub(crate) async fn handle(
     edge: sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     let mut response = route(&edge, request).await;
     if edge.is_stopping() {
         let close = header::HeaderValue::from_static("close");
@@ -34,7 +34,7 @@
 async fn route(
     edge: &sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     let arrived = clock::now();
     edge.counters.requests.received.inc();
     let (parts, body) = request.into_parts();
@@ -57,7 +57,7 @@
     if body::Body::size_hint(&body).lower() > limit as u64 {
         return early(Refusal::never(Reason::TooLarge));
     }
-    let Some(body) = answer::read_body(body, limit).await else {
+    let Some(body) = response::read_body(body, limit).await else {
         return early(Refusal::never(Reason::BadRequest));
     };
     let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
@@ -76,7 +76,7 @@
     .await
 }
 
-async fn start(call: call::Call) -> Response<answer::Body> {
+async fn start(call: call::Call) -> Response<response::Body> {
     let open = call::Open::new(&call.edge);
     call.edge.directory().service(&call.service).repeats.note_request(clock::now());
     let (reply, receiver) = reply::Reply::new();
@@ -90,7 +90,7 @@
         }
     });
     let failed = || {
-        let mut response = Response::new(answer::full("the request failed inside the entry\n"));
+        let mut response = Response::new(response::full("the request failed inside the entry\n"));
         *response.status_mut() = StatusCode::BAD_GATEWAY;
         response
     };
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 
 use rhubarb_core::{flow, ids, outcome, pool};
-use rhubarb_node::{answer, clock, reply};
+use rhubarb_node::{clock, reply, response};
 use rhubarb_platform::{answer as forms, request};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
@@ -217,7 +217,7 @@
             age_ms = call.age_ms(),
             "edge: answered"
         );
-        self.reply.answer(whole.head.map(|()| answer::full(whole.body)));
+        self.reply.answer(whole.head.map(|()| response::full(whole.body)));
     }
 
     fn refuse(&mut self, refusal: Refusal) {
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -3,7 +3,7 @@
 use hyper::{Response, StatusCode, header};
 
 use rhubarb_core::outcome;
-use rhubarb_node::{answer, metrics};
+use rhubarb_node::{metrics, response};
 use rhubarb_platform::answer as forms;
 
 use outcome::{Outcome, Reason, Refusal};
@@ -15,7 +15,7 @@
     edge: &edge::Edge,
     attempt: Option<&header::HeaderValue>,
     refusal: Refusal,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     edge.counters.requests.refused.get_or_create(&metrics::labels(refusal.reason)).inc();
     let id = attempt.and_then(|id| id.to_str().ok()).unwrap_or("-");
     let reason = refusal.reason.name();
@@ -24,7 +24,7 @@
 }
 
 /// Answer to a request that is given up.
-pub(crate) fn late(call: &call::Call, refusal: Refusal) -> Response<answer::Body> {
+pub(crate) fn late(call: &call::Call, refusal: Refusal) -> Response<response::Body> {
     note(call, refusal);
     answer(call.head.attempt.as_ref(), refusal)
 }
@@ -47,11 +47,11 @@
     );
 }
 
-fn answer(attempt: Option<&header::HeaderValue>, refusal: Refusal) -> Response<answer::Body> {
+fn answer(attempt: Option<&header::HeaderValue>, refusal: Refusal) -> Response<response::Body> {
     // A time to come back is a promise that nothing ran.
     let retry = refusal.retry.filter(|_| refusal.outcome == Outcome::NotRun);
     let text = format!("{refusal}\n");
-    forms::own(status(&refusal), attempt, retry).map(|()| answer::full(text))
+    forms::own(status(&refusal), attempt, retry).map(|()| response::full(text))
 }
 
 fn status(refusal: &Refusal) -> StatusCode {
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, Response, StatusCode, body};
 
-use rhubarb_node::{answer, clock, logs, metrics, server, stop};
+use rhubarb_node::{clock, logs, metrics, response, server, stop};
 use rhubarb_platform::{paths, settings, store};
 
 use tokio::{sync as lock, task};
@@ -79,12 +79,12 @@
 async fn tell(
     edge: sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     match request.uri().path() {
-        paths::READY if edge.is_ready() => answer::text(StatusCode::OK, "ready\n"),
-        paths::READY => answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        "/metrics" => edge.counters.registry.answer(),
-        _ => answer::text(StatusCode::NOT_FOUND, "no such page\n"),
+        paths::READY if edge.is_ready() => response::text(StatusCode::OK, "ready\n"),
+        paths::READY => response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        "/metrics" => edge.counters.registry.response(),
+        _ => response::text(StatusCode::NOT_FOUND, "no such page\n"),
     }
 }
 
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 
 use rhubarb_core::{engine, engines, events, flow, ids, outcome, pool, routing};
-use rhubarb_node::{answer, clock, reply};
+use rhubarb_node::{clock, reply, response};
 use rhubarb_platform::{answer as forms, request};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
@@ -322,7 +322,7 @@
             reply::Waited::Event(exchange::Read { head, body: Some(body) })
                 if !self.reply.has_begun() =>
             {
-                self.reply.answer(forms::to_caller(&head).map(|()| answer::full(body)));
+                self.reply.answer(forms::to_caller(&head).map(|()| response::full(body)));
                 flow::Event::Ended
             }
             reply::Waited::Event(_) => self.broken(server, Reason::EngineFailed),
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -5,14 +5,14 @@
 use hyper::{Method, Request, Response, StatusCode, body, http};
 
 use rhubarb_core::{list, outcome};
-use rhubarb_node::{answer, clock, control, reply};
+use rhubarb_node::{clock, control, reply, response};
 
 use crate::{admit, completion, entry, openai, plain, refuse, tag, teller};
 
 use outcome::{Reason, Refusal};
 
 type Shared = sync::Arc<entry::Entry>;
-type Reply = Response<answer::Body>;
+type Reply = Response<response::Body>;
 
 /// Longest time to read the body of a request.
 const BODY_TIME: std::time::Duration = std::time::Duration::from_secs(30);
@@ -21,9 +21,9 @@
 pub(crate) async fn handle(entry: Shared, request: Request<body::Incoming>) -> Reply {
     let (head, content) = request.into_parts();
     match (&head.method, head.uri.path()) {
-        (&Method::GET, "/healthz") => return answer::text(StatusCode::OK, "ok\n"),
+        (&Method::GET, "/healthz") => return response::text(StatusCode::OK, "ok\n"),
         (&Method::GET, "/readyz") => return ready(&entry),
-        (&Method::GET, "/metrics") => return entry.metrics.registry.answer(),
+        (&Method::GET, "/metrics") => return entry.metrics.registry.response(),
         (&Method::GET, "/status") => return status(&entry),
         (&Method::POST, "/drain") => return drain(&entry, &head),
         _ => {}
@@ -64,7 +64,7 @@
 
 async fn read_body(entry: &Shared, content: body::Incoming) -> Result<bytes::Bytes, Failure> {
     let limit = entry.settings.max_body;
-    let reading = answer::read_body(content, limit);
+    let reading = response::read_body(content, limit);
     let Ok(content) = tokio::time::timeout(BODY_TIME, reading).await else {
         let detail = format!("the body did not come within {BODY_TIME:?}");
         return Err((Refusal::never(Reason::BadRequest), Some(detail)));
@@ -163,11 +163,11 @@
 fn ready(entry: &Shared) -> Reply {
     let view = entry.directory.view();
     if entry.is_stopping() {
-        answer::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
+        response::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
     } else if view.version() == 0 || !view.read_instances {
-        answer::text(StatusCode::SERVICE_UNAVAILABLE, "no service list or instances yet\n")
+        response::text(StatusCode::SERVICE_UNAVAILABLE, "no service list or instances yet\n")
     } else {
-        answer::text(StatusCode::OK, "ready\n")
+        response::text(StatusCode::OK, "ready\n")
     }
 }
 
@@ -182,13 +182,13 @@
         "followed": view.followed().len(),
         "usable": view.usable(clock::now()),
     });
-    answer::json(StatusCode::OK, &status)
+    response::json(StatusCode::OK, &status)
 }
 
 fn drain(entry: &Shared, head: &http::request::Parts) -> Reply {
     if !control::is_operator(&entry.settings.keys, &head.headers) {
-        return answer::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
+        return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
     entry.stop();
-    answer::text(StatusCode::OK, "draining\n")
+    response::text(StatusCode::OK, "draining\n")
 }
--- a/crates/entry/src/refuse.rs
+++ b/crates/entry/src/refuse.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use rhubarb_core::outcome;
-use rhubarb_node::answer;
+use rhubarb_node::response;
 
 use outcome::{Outcome, Reason, Refusal};
 
@@ -14,8 +14,8 @@
 pub(crate) const OUTCOME: &str = "rhubarb-outcome";
 
 /// Answer that refuses a request.
-pub(crate) fn answer(refusal: Refusal, detail: Option<&str>) -> Response<answer::Body> {
-    let mut answer = answer::json(status(&refusal), &body(refusal, detail));
+pub(crate) fn answer(refusal: Refusal, detail: Option<&str>) -> Response<response::Body> {
+    let mut answer = response::json(status(&refusal), &body(refusal, detail));
     let headers = answer.headers_mut();
     headers.insert(OUTCOME, header::HeaderValue::from_static(refusal.outcome.name()));
     if let Some(retry) = refusal.retry {
--- a/crates/entry/src/teller.rs
+++ b/crates/entry/src/teller.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode, header};
 
 use rhubarb_core::outcome;
-use rhubarb_node::{answer, clock, reply};
+use rhubarb_node::{clock, reply, response};
 
 use crate::{openai, refuse, tag};
 
@@ -65,7 +65,7 @@
             return self.reply.send(event, deadline).await;
         }
         let body = self.style.whole(&self.text, reason, usage);
-        self.answer(answer::json(StatusCode::OK, &body));
+        self.answer(response::json(StatusCode::OK, &body));
         true
     }
 
@@ -79,7 +79,7 @@
         self.reply.break_off(refusal.reason.name()).await;
     }
 
-    fn answer(&mut self, mut response: Response<answer::Body>) {
+    fn answer(&mut self, mut response: Response<response::Body>) {
         tag::insert(response.headers_mut(), &self.style.id);
         self.reply.answer(response);
     }
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use rhubarb_node::{answer, locks, server};
+use rhubarb_node::{locks, response, server};
 
 /// One backend server; clones share their state.
 #[derive(Clone, Debug)]
@@ -189,9 +189,9 @@
         locks::lock(&self.inner.state)
     }
 
-    async fn handle(&self, request: Request<body::Incoming>) -> Response<answer::Body> {
+    async fn handle(&self, request: Request<body::Incoming>) -> Response<response::Body> {
         let (parts, body) = request.into_parts();
-        let content = answer::read_body(body, 1 << 23).await.unwrap_or_default();
+        let content = response::read_body(body, 1 << 23).await.unwrap_or_default();
         let fault = {
             let mut state = self.state();
             state.faulted += u64::from(state.fault != Fault::None);
@@ -199,7 +199,7 @@
         };
         let expected = text(&parts.headers, "x-expect-instance");
         if fault == Fault::Moved || (!expected.is_empty() && expected != self.id) {
-            let mut moved = answer::text(StatusCode::MISDIRECTED_REQUEST, "");
+            let mut moved = response::text(StatusCode::MISDIRECTED_REQUEST, "");
             moved.headers_mut().insert("x-instance-id", value("i-other"));
             return moved;
         }
@@ -216,29 +216,29 @@
         }
     }
 
-    fn take_hold(&self, fault: Fault) -> Response<answer::Body> {
+    fn take_hold(&self, fault: Fault) -> Response<response::Body> {
         if fault == Fault::Full {
             return shed();
         }
         let mut state = self.state();
         let hold = format!("hold-{}-{}", self.id, state.holds.len() + state.seen.len());
         state.holds.insert(hold.clone(), time::Instant::now());
-        answer::json(StatusCode::OK, &json!({"hold": hold}))
+        response::json(StatusCode::OK, &json!({"hold": hold}))
     }
 
-    fn free(&self, path: &str) -> Response<answer::Body> {
+    fn free(&self, path: &str) -> Response<response::Body> {
         let name = path.rsplit('/').next().unwrap_or_default();
         let is_known = self.state().holds.remove(name).is_some() || self.take_handle(name);
-        answer::text(if is_known { StatusCode::OK } else { StatusCode::NOT_FOUND }, "")
+        response::text(if is_known { StatusCode::OK } else { StatusCode::NOT_FOUND }, "")
     }
 
     fn take_handle(&self, handle: &str) -> bool {
         locks::lock(&self.inner.handles).remove(handle).is_some()
     }
 
-    fn report(&self) -> Response<answer::Body> {
+    fn report(&self) -> Response<response::Body> {
         let state = self.state();
-        answer::json(
+        response::json(
             StatusCode::OK,
             &json!({
                 "stage": state.stage, "models": [], "busy": false, "sequence": state.orders,
@@ -247,20 +247,20 @@
         )
     }
 
-    fn order(&self, content: &Bytes) -> Response<answer::Body> {
+    fn order(&self, content: &Bytes) -> Response<response::Body> {
         let order: serde_json::Value = serde_json::from_slice(content).unwrap_or_default();
         let mut state = self.state();
         let fence = order["fence"].as_u64().unwrap_or(0);
         if fence < state.fence {
-            return answer::text(StatusCode::PRECONDITION_FAILED, "");
+            return response::text(StatusCode::PRECONDITION_FAILED, "");
         }
         if order["expected"].as_u64().is_some_and(|expected| expected != state.orders) {
-            return answer::text(StatusCode::CONFLICT, "");
+            return response::text(StatusCode::CONFLICT, "");
         }
         state.fence = fence;
         state.orders += 1;
         state.stage = order["stage"].as_str().unwrap_or_default().to_string();
-        answer::text(StatusCode::ACCEPTED, "")
+        response::text(StatusCode::ACCEPTED, "")
     }
 
     async fn run(
@@ -269,7 +269,7 @@
         headers: &HeaderMap,
         content: Bytes,
         fault: Fault,
-    ) -> Response<answer::Body> {
+    ) -> Response<response::Body> {
         if fault == Fault::Sheds {
             return shed();
         }
@@ -296,7 +296,7 @@
         self.stream(echoed, headers, fault)
     }
 
-    async fn prefill(&self, headers: &HeaderMap, fault: Fault) -> Response<answer::Body> {
+    async fn prefill(&self, headers: &HeaderMap, fault: Fault) -> Response<response::Body> {
         if fault == Fault::Mute {
             tokio::time::sleep(FOREVER).await;
         }
@@ -305,7 +305,7 @@
             locks::lock(&self.inner.handles).insert(handle.clone(), time::Instant::now());
         }
         let reply = json!({"handle": handle, "tokens": 100, "version": 1});
-        let mut reply = answer::json(StatusCode::OK, &reply);
+        let mut reply = response::json(StatusCode::OK, &reply);
         reply.headers_mut().insert("x-attempt-id", value(&text(headers, "x-attempt-id")));
         reply
     }
@@ -315,7 +315,7 @@
         attempt: &str,
         content: Bytes,
         fault: Fault,
-    ) -> Response<answer::Body> {
+    ) -> Response<response::Body> {
         let _running = Running::new(&self.inner);
         let status = match fault {
             Fault::Mute => {
@@ -326,12 +326,12 @@
             Fault::Fails => StatusCode::INTERNAL_SERVER_ERROR,
             _ => StatusCode::OK,
         };
-        let mut reply = answer::text(status, content);
+        let mut reply = response::text(status, content);
         seal(reply.headers_mut(), attempt);
         reply
     }
 
-    fn stream(&self, attempt: &str, headers: &HeaderMap, fault: Fault) -> Response<answer::Body> {
+    fn stream(&self, attempt: &str, headers: &HeaderMap, fault: Fault) -> Response<response::Body> {
         let last = text(headers, "last-event-id").parse().ok();
         let last: Option<u64> = last.filter(|_| fault != Fault::StartsOver);
         let first = last.map_or(0, |last| last + 1);
@@ -344,7 +344,7 @@
                 () = sender.closed() => {}
             }
         });
-        let mut reply = Response::new(answer::stream(receiver));
+        let mut reply = Response::new(response::stream(receiver));
         seal(reply.headers_mut(), attempt);
         reply.headers_mut().insert(header::CONTENT_TYPE, value("text/event-stream"));
         reply
@@ -401,16 +401,16 @@
     }
 }
 
-fn shed() -> Response<answer::Body> {
-    let mut shed = answer::text(StatusCode::SERVICE_UNAVAILABLE, "");
+fn shed() -> Response<response::Body> {
+    let mut shed = response::text(StatusCode::SERVICE_UNAVAILABLE, "");
     shed.headers_mut().insert("x-not-executed", value("1"));
     shed
 }
 
-fn broken() -> Response<answer::Body> {
+fn broken() -> Response<response::Body> {
     let (sender, receiver) = mpsc::channel(1);
     let _ = sender.try_send(Err(io::Error::other("reset")));
-    Response::new(answer::stream(receiver))
+    Response::new(response::stream(receiver))
 }
 
 fn seal(headers: &mut HeaderMap, attempt: &str) {
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tokio::sync as lock;
 
-use rhubarb_node::{answer, client, clock, locks};
+use rhubarb_node::{client, clock, locks, response};
 
 use crate::{plain, switch, tokens};
 
@@ -83,7 +83,7 @@
 const CHANNEL: usize = 8;
 const CALL_LIMIT: time::Duration = time::Duration::from_secs(10);
 
-type Reply = Response<answer::Body>;
+type Reply = Response<response::Body>;
 
 /// Frees the room of a stream when the stream ends or its connection is closed.
 struct Room {
@@ -129,10 +129,10 @@
             "/decode" => self.decode(deps, content).await,
             "/cancel" => self.cancel(content),
             "/model" => self.load_model(deps, content).await,
-            "/load" => answer::json(StatusCode::OK, &self.load()),
+            "/load" => response::json(StatusCode::OK, &self.load()),
             _ => match path.strip_prefix("/kv/") {
                 Some(handle) => self.export(handle).await,
-                None => answer::text(StatusCode::NOT_FOUND, "no such endpoint"),
+                None => response::text(StatusCode::NOT_FOUND, "no such endpoint"),
             },
         }
     }
@@ -170,7 +170,7 @@
         state.results.insert(order.id.clone(), Cached { tokens: count, evicted_at });
         drop(state);
         let reply = json!({ "source": self.url, "handle": order.id, "tokens": count });
-        answer::json(StatusCode::OK, &reply)
+        response::json(StatusCode::OK, &reply)
     }
 
     // Whether the prompt's prefix is cached; it is from now on.
@@ -194,10 +194,10 @@
         let now = clock::now();
         let cached = self.lock().results.remove(handle).filter(|cached| cached.evicted_at > now);
         let Some(cached) = cached else {
-            return answer::text(StatusCode::GONE, "evicted");
+            return response::text(StatusCode::GONE, "evicted");
         };
         tokio::time::sleep(TRANSFER_TOKEN * cached.tokens).await;
-        answer::text(StatusCode::OK, "kv")
+        response::text(StatusCode::OK, "kv")
     }
 
     async fn decode(self: &sync::Arc<Self>, deps: &Deps, content: &Bytes) -> Reply {
@@ -206,7 +206,7 @@
         {
             let mut state = self.lock();
             if state.streams.len() as u32 >= ROOMS {
-                return answer::text(StatusCode::TOO_MANY_REQUESTS, "memory is full");
+                return response::text(StatusCode::TOO_MANY_REQUESTS, "memory is full");
             }
             state.streams.insert(order.id.clone(), cancelled.clone());
         }
@@ -215,14 +215,14 @@
         let url = format!("{}/kv/{}", order.source, order.handle);
         match deps.client.get(&url, CALL_LIMIT).await {
             Ok(reply) if reply.status == StatusCode::OK => {}
-            Ok(_) => return answer::text(StatusCode::GONE, "prefill result evicted"),
-            Err(err) => return answer::text(StatusCode::BAD_GATEWAY, err.to_string()),
+            Ok(_) => return response::text(StatusCode::GONE, "prefill result evicted"),
+            Err(err) => return response::text(StatusCode::BAD_GATEWAY, err.to_string()),
         }
         deps.runs.count(order.key.as_deref());
         let (sender, receiver) = lock::mpsc::channel(CHANNEL);
         let switches = deps.switches.clone();
         tokio::spawn(async move { generate(room, order, switches, sender, cancelled).await });
-        Response::new(answer::stream(receiver))
+        Response::new(response::stream(receiver))
     }
 
     fn cancel(&self, content: &Bytes) -> Reply {
@@ -233,20 +233,20 @@
         for (_, cancelled) in state.streams.iter().filter(|(id, _)| is_meant(id)) {
             cancelled.notify_one();
         }
-        answer::text(StatusCode::OK, "cancelled")
+        response::text(StatusCode::OK, "cancelled")
     }
 
     async fn load_model(&self, deps: &Deps, content: &Bytes) -> Reply {
         let Ok(order) = serde_json::from_slice::<ModelOrder>(content) else { return bad() };
         if order.fence.is_some_and(|fence| !deps.runs.pass_fence(&self.name, fence)) {
-            return answer::text(StatusCode::CONFLICT, "old fencing number");
+            return response::text(StatusCode::CONFLICT, "old fencing number");
         }
         for _ in 0..=order.adapters.len() {
             deps.fetch_weights().await;
         }
         let model = format!("{}@{}+{}", order.weights, order.version, order.adapters.join("+"));
         self.lock().model = model.clone();
-        answer::json(StatusCode::OK, &json!({ "model": model }))
+        response::json(StatusCode::OK, &json!({ "model": model }))
     }
 }
 
@@ -287,7 +287,7 @@
 }
 
 fn bad() -> Reply {
-    answer::text(StatusCode::BAD_REQUEST, "not such an order")
+    response::text(StatusCode::BAD_REQUEST, "not such an order")
 }
 
 async fn generate(
--- a/crates/fakes/src/instances.rs
+++ b/crates/fakes/src/instances.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, Response, StatusCode};
 use serde_json::json;
 
-use rhubarb_node::{answer, clock, instances, locks};
+use rhubarb_node::{clock, instances, locks, response};
 
 /// Instance list.
 #[derive(Debug)]
@@ -29,23 +29,27 @@
     }
 
     /// Answers a call; `name` is empty for the whole list.
-    pub fn call(&self, method: &Method, name: &str, body: &Bytes) -> Response<answer::Body> {
+    pub fn call(&self, method: &Method, name: &str, body: &Bytes) -> Response<response::Body> {
         match *method {
-            Method::GET => answer::json(StatusCode::OK, &json!(self.shown())),
+            Method::GET => response::json(StatusCode::OK, &json!(self.shown())),
             Method::PUT => match serde_json::from_slice(body) {
                 Ok(instance) => self.change(name, Some(instance)),
-                Err(err) => answer::text(StatusCode::BAD_REQUEST, err.to_string()),
+                Err(err) => response::text(StatusCode::BAD_REQUEST, err.to_string()),
             },
             Method::DELETE => self.change(name, None),
-            _ => answer::text(StatusCode::METHOD_NOT_ALLOWED, "use GET, PUT or DELETE"),
+            _ => response::text(StatusCode::METHOD_NOT_ALLOWED, "use GET, PUT or DELETE"),
         }
     }
 
-    fn change(&self, name: &str, instance: Option<instances::Instance>) -> Response<answer::Body> {
+    fn change(
+        &self,
+        name: &str,
+        instance: Option<instances::Instance>,
+    ) -> Response<response::Body> {
         let mut changes = locks::lock(&self.changes);
         let shown_at = clock::now() + self.lag;
         changes.push(Change { shown_at, name: name.to_string(), instance });
-        answer::text(StatusCode::OK, "noted")
+        response::text(StatusCode::OK, "noted")
     }
 
     fn shown(&self) -> Vec<instances::Instance> {
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, Response, StatusCode};
 use serde_json::json;
 
-use rhubarb_node::{answer, locks};
+use rhubarb_node::{locks, response};
 
 /// Object store.
 #[derive(Debug, Default)]
@@ -22,27 +22,27 @@
         name: &str,
         query: &str,
         body: Bytes,
-    ) -> Response<answer::Body> {
+    ) -> Response<response::Body> {
         let mut objects = locks::lock(&self.objects);
         match (method, name) {
             (&Method::GET, "") => {
                 let prefix = query.strip_prefix("prefix=").unwrap_or_default();
                 let names: Vec<_> = objects.keys().filter(|key| key.starts_with(prefix)).collect();
-                answer::json(StatusCode::OK, &json!(names))
+                response::json(StatusCode::OK, &json!(names))
             }
             (&Method::GET, _) => match objects.get(name) {
-                Some(content) => answer::text(StatusCode::OK, content.clone()),
-                None => answer::text(StatusCode::NOT_FOUND, "no such object"),
+                Some(content) => response::text(StatusCode::OK, content.clone()),
+                None => response::text(StatusCode::NOT_FOUND, "no such object"),
             },
             (&Method::PUT, _) => {
                 objects.insert(name.to_string(), body);
-                answer::text(StatusCode::OK, "stored")
+                response::text(StatusCode::OK, "stored")
             }
             (&Method::DELETE, _) => {
                 objects.remove(name);
-                answer::text(StatusCode::OK, "removed")
+                response::text(StatusCode::OK, "removed")
             }
-            _ => answer::text(StatusCode::METHOD_NOT_ALLOWED, "use GET, PUT or DELETE"),
+            _ => response::text(StatusCode::METHOD_NOT_ALLOWED, "use GET, PUT or DELETE"),
         }
     }
 }
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, Response, StatusCode, header};
 use serde_json::json;
 
-use rhubarb_node::{answer, locks};
+use rhubarb_node::{locks, response};
 
 /// Runs by idempotency key, over all servers.
 #[derive(Debug, Default)]
@@ -61,11 +61,11 @@
 }
 
 /// Answers a call: `/bytes?N` with N bytes, `/wait?MS` late, and all else with what it got.
-pub async fn call(runs: &Runs, call: Call<'_>) -> Response<answer::Body> {
+pub async fn call(runs: &Runs, call: Call<'_>) -> Response<response::Body> {
     let text = |name: &str| call.headers.get(name).and_then(|value| value.to_str().ok());
     let fence = text(FENCE).and_then(|fence| fence.parse().ok());
     if fence.is_some_and(|fence| !runs.pass_fence(call.server, fence)) {
-        return answer::text(StatusCode::CONFLICT, "old fencing number");
+        return response::text(StatusCode::CONFLICT, "old fencing number");
     }
     runs.count(text("idempotency-key"));
     // Calls are counted by server and path too, as `SERVER-PATH`.
@@ -76,7 +76,7 @@
     }
     if call.path == "/bytes" {
         let size = (number as usize).min(MAX_BYTES);
-        return answer::text(StatusCode::OK, pattern(size));
+        return response::text(StatusCode::OK, pattern(size));
     }
     let got = json!({
         "server": call.server,
@@ -89,7 +89,7 @@
         "connection": text("connection"),
         "authorization": text("authorization"),
     });
-    let mut reply = answer::json(StatusCode::OK, &got);
+    let mut reply = response::json(StatusCode::OK, &got);
     let close = header::HeaderValue::from_static("timeout=5");
     reply.headers_mut().insert("keep-alive", close);
     reply.headers_mut().insert("x-served", header::HeaderValue::from_static("yes"));
--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync as lock;
 
-use rhubarb_node::{answer, client, locks};
+use rhubarb_node::{client, locks, response};
 
 use crate::{engine, instances, objects, plain, switch, table};
 
@@ -33,7 +33,7 @@
 
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-type Reply = Response<answer::Body>;
+type Reply = Response<response::Body>;
 
 impl Fakes {
     /// Makes the stand-ins, which are reached at `address`.
@@ -56,8 +56,8 @@
     /// Answers a request.
     pub async fn handle(self: sync::Arc<Self>, request: Request<body::Incoming>) -> Reply {
         let (head, content) = request.into_parts();
-        let Some(content) = answer::read_body(content, MAX_BODY_BYTES).await else {
-            return answer::text(StatusCode::PAYLOAD_TOO_LARGE, "body too large");
+        let Some(content) = response::read_body(content, MAX_BODY_BYTES).await else {
+            return response::text(StatusCode::PAYLOAD_TOO_LARGE, "body too large");
         };
         let path = head.uri.path().to_string();
         let mut parts = path.trim_start_matches('/').splitn(3, '/');
@@ -65,9 +65,9 @@
         let name = parts.next().unwrap_or_default();
         let rest = format!("/{}", parts.next().unwrap_or_default());
         match area {
-            "healthz" => answer::text(StatusCode::OK, "ok"),
-            "held" => answer::text(StatusCode::OK, self.held().to_string()),
-            "runs" => answer::text(StatusCode::OK, self.deps.runs.get(name).to_string()),
+            "healthz" => response::text(StatusCode::OK, "ok"),
+            "held" => response::text(StatusCode::OK, self.held().to_string()),
+            "runs" => response::text(StatusCode::OK, self.deps.runs.get(name).to_string()),
             "switch" => self.switch(&content),
             "engine" | "plain" => {
                 self.guarded(name, false, self.serve(&head, name, &rest, content)).await
@@ -90,11 +90,11 @@
         let switches = &self.deps.switches;
         switches.delay(target).await;
         match switches.mode(target) {
-            switch::Mode::Down => answer::text(StatusCode::SERVICE_UNAVAILABLE, "down"),
-            switch::Mode::Failing => answer::text(StatusCode::INTERNAL_SERVER_ERROR, "failing"),
+            switch::Mode::Down => response::text(StatusCode::SERVICE_UNAVAILABLE, "down"),
+            switch::Mode::Failing => response::text(StatusCode::INTERNAL_SERVER_ERROR, "failing"),
             mode if mode == switch::Mode::Lost || (writes && mode == switch::Mode::LostWrites) => {
                 call.await;
-                answer::text(StatusCode::GATEWAY_TIMEOUT, "the answer was lost")
+                response::text(StatusCode::GATEWAY_TIMEOUT, "the answer was lost")
             }
             _ => {
                 let reply = call.await;
@@ -120,9 +120,9 @@
             "instances" => self.instances.call(&head.method, key, &content),
             "weights" => {
                 self.deps.fetch_weights().await;
-                answer::text(StatusCode::OK, "weights")
+                response::text(StatusCode::OK, "weights")
             }
-            _ => answer::text(StatusCode::NOT_FOUND, "no such stand-in"),
+            _ => response::text(StatusCode::NOT_FOUND, "no such stand-in"),
         }
     }
 
@@ -169,8 +169,8 @@
             Some(())
         });
         match found {
-            Some(()) => answer::text(StatusCode::OK, "set"),
-            None => answer::text(StatusCode::BAD_REQUEST, "give `TARGET MODE`"),
+            Some(()) => response::text(StatusCode::OK, "set"),
+            None => response::text(StatusCode::BAD_REQUEST, "give `TARGET MODE`"),
         }
     }
 }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tokio::sync as lock;
 
-use rhubarb_node::{answer, locks, server};
+use rhubarb_node::{locks, response, server};
 
 /// Store; clones share their rows.
 #[derive(Clone, Debug, Default)]
@@ -154,7 +154,7 @@
         locks::lock(&self.inner.state)
     }
 
-    async fn handle(&self, request: Request<body::Incoming>) -> Response<answer::Body> {
+    async fn handle(&self, request: Request<body::Incoming>) -> Response<response::Body> {
         let (parts, body) = request.into_parts();
         let mode = {
             let mut state = self.state();
@@ -162,7 +162,7 @@
             state.mode
         };
         match mode {
-            Mode::Busy => return answer::text(StatusCode::SERVICE_UNAVAILABLE, "busy"),
+            Mode::Busy => return response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"),
             Mode::Silent => tokio::time::sleep(FOREVER).await,
             Mode::Slow => tokio::time::sleep(LATE).await,
             Mode::Up | Mode::Lost => {}
@@ -172,7 +172,7 @@
             (&Method::GET, "/v1/rows-get") => self.read(&query),
             (&Method::GET, "/v1/rows-feed") => self.feed(&query).await,
             (&Method::POST, "/v1/rows-tx") => {
-                let content = answer::read_body(body, 1 << 20).await.unwrap_or_default();
+                let content = response::read_body(body, 1 << 20).await.unwrap_or_default();
                 let written = self.write(&content);
                 if mode == Mode::Lost {
                     tokio::time::sleep(FOREVER).await;
@@ -182,15 +182,15 @@
             (&Method::GET, "/v1/blob-list") => self.names(&query),
             (method, path) => match path.split_once("/v1/blob-") {
                 Some(("", call)) => {
-                    let content = answer::read_body(body, OBJECT_BYTES).await.unwrap_or_default();
+                    let content = response::read_body(body, OBJECT_BYTES).await.unwrap_or_default();
                     self.object(method, call, content)
                 }
-                _ => answer::text(StatusCode::NOT_FOUND, "no such call"),
+                _ => response::text(StatusCode::NOT_FOUND, "no such call"),
             },
         }
     }
 
-    fn names(&self, query: &str) -> Response<answer::Body> {
+    fn names(&self, query: &str) -> Response<response::Body> {
         let (prefix, after) = (parameter(query, "prefix"), parameter(query, "after"));
         let state = self.state();
         let found: Vec<_> = state
@@ -201,36 +201,36 @@
             .collect();
         let has_more = found.len() > NAMES;
         let names = &found[..found.len().min(NAMES)];
-        answer::json(StatusCode::OK, &json!({"names": names, "has_more": has_more}))
+        response::json(StatusCode::OK, &json!({"names": names, "has_more": has_more}))
     }
 
-    fn object(&self, method: &Method, call: &str, content: Bytes) -> Response<answer::Body> {
+    fn object(&self, method: &Method, call: &str, content: Bytes) -> Response<response::Body> {
         let mut state = self.state();
         match (method, call.split_once('/')) {
             (&Method::PUT, Some(("put", name))) => {
                 state.objects.insert(name.to_string(), content);
-                answer::text(StatusCode::OK, "")
+                response::text(StatusCode::OK, "")
             }
             (&Method::GET, Some(("get", name))) => match state.objects.get(name) {
-                Some(content) => Response::new(answer::full(content.clone())),
-                None => answer::text(StatusCode::NOT_FOUND, "no such object"),
+                Some(content) => Response::new(response::full(content.clone())),
+                None => response::text(StatusCode::NOT_FOUND, "no such object"),
             },
             (&Method::DELETE, Some(("drop", name))) => {
                 state.objects.remove(name);
-                answer::text(StatusCode::OK, "")
+                response::text(StatusCode::OK, "")
             }
-            _ => answer::text(StatusCode::NOT_FOUND, "no such call"),
+            _ => response::text(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    fn read(&self, query: &str) -> Response<answer::Body> {
+    fn read(&self, query: &str) -> Response<response::Body> {
         let state = self.state();
         let table = parameter(query, "table");
         let from = parameter(query, "from").replace("%00", "\0");
         let in_range = |key: &Key| key.0 == table && key.1 >= from;
         let rows = state.rows.iter().filter(|(key, row)| in_range(key) && row.value.is_some());
         let rows: Vec<_> = rows.map(|(key, row)| show(key, row)).collect();
-        answer::json(
+        response::json(
             StatusCode::OK,
             &json!({
                 "rows": rows, "has_more": false, "ver": state.version, "now_ms": 1,
@@ -238,7 +238,7 @@
         )
     }
 
-    async fn feed(&self, query: &str) -> Response<answer::Body> {
+    async fn feed(&self, query: &str) -> Response<response::Body> {
         let table = parameter(query, "table");
         let after = parameter(query, "after").parse().unwrap_or(0);
         let wait = parameter(query, "wait_ms").parse().unwrap_or(0);
@@ -250,34 +250,34 @@
             }
             if tokio::time::timeout_at(until, changed).await.is_err() {
                 let version = self.state().version;
-                return answer::json(StatusCode::OK, &json!({"rows": [], "ver": version}));
+                return response::json(StatusCode::OK, &json!({"rows": [], "ver": version}));
             }
         }
     }
 
-    fn news(&self, table: &str, after: u64) -> Option<Response<answer::Body>> {
+    fn news(&self, table: &str, after: u64) -> Option<Response<response::Body>> {
         let state = self.state();
         if state.mode == Mode::Busy {
-            return Some(answer::text(StatusCode::SERVICE_UNAVAILABLE, "busy"));
+            return Some(response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"));
         }
         if state.mode == Mode::Silent {
             return None;
         }
         if after < state.oldest {
-            return Some(answer::text(StatusCode::GONE, "the history is gone"));
+            return Some(response::text(StatusCode::GONE, "the history is gone"));
         }
         let newer = |key: &Key, row: &Row| key.0 == table && row.version > after;
         let mut rows: Vec<_> = state.rows.iter().filter(|(key, row)| newer(key, row)).collect();
         rows.sort_by_key(|(_, row)| row.version);
         let rows: Vec<_> = rows.into_iter().map(|(key, row)| show(key, row)).collect();
         let reply = json!({"rows": rows, "ver": state.version, "now_ms": 1});
-        (!rows.is_empty()).then(|| answer::json(StatusCode::OK, &reply))
+        (!rows.is_empty()).then(|| response::json(StatusCode::OK, &reply))
     }
 
-    fn write(&self, content: &Bytes) -> Response<answer::Body> {
+    fn write(&self, content: &Bytes) -> Response<response::Body> {
         let transaction: Transaction = match serde_json::from_slice(content) {
             Ok(transaction) => transaction,
-            Err(err) => return answer::text(StatusCode::BAD_REQUEST, err.to_string()),
+            Err(err) => return response::text(StatusCode::BAD_REQUEST, err.to_string()),
         };
         let holds = |expected: &Expected| {
             let state = self.state();
@@ -286,19 +286,19 @@
             row.map_or(0, |row| row.version) == expected.ver
         };
         if !transaction.expected.iter().all(holds) {
-            return answer::json(StatusCode::PRECONDITION_FAILED, &json!({"rows": [], "ver": 0}));
+            return response::json(StatusCode::PRECONDITION_FAILED, &json!({"rows": [], "ver": 0}));
         }
         let mut version = self.state().version;
         for write in transaction.writes {
             if ["op", "servers"].contains(&write.table.as_str()) {
-                return answer::text(StatusCode::FORBIDDEN, "not the system's table");
+                return response::text(StatusCode::FORBIDDEN, "not the system's table");
             }
             let Some(value) = decode(&write.value) else {
-                return answer::text(StatusCode::BAD_REQUEST, "the value is not base64");
+                return response::text(StatusCode::BAD_REQUEST, "the value is not base64");
             };
             version = self.put(&write.table, &write.key, value);
         }
-        answer::json(StatusCode::OK, &json!({"ver": version, "now_ms": 1}))
+        response::json(StatusCode::OK, &json!({"ver": version, "now_ms": 1}))
     }
 }
 
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use rhubarb_node::{answer, clock, locks, table};
+use rhubarb_node::{clock, locks, response, table};
 
 /// Table service.
 #[derive(Debug, Default)]
@@ -36,18 +36,18 @@
 
 impl Table {
     /// Answers a read of the row `key`, or a transaction.
-    pub fn call(&self, method: &Method, key: &str, body: &Bytes) -> Response<answer::Body> {
+    pub fn call(&self, method: &Method, key: &str, body: &Bytes) -> Response<response::Body> {
         let mut state = locks::lock(&self.state);
         if !state.admit(method) {
-            return answer::text(StatusCode::TOO_MANY_REQUESTS, "over the table's rate");
+            return response::text(StatusCode::TOO_MANY_REQUESTS, "over the table's rate");
         }
         match *method {
             Method::GET => state.read(key),
             Method::POST => match serde_json::from_slice(body) {
                 Ok(writes) => state.write_all(writes),
-                Err(err) => answer::text(StatusCode::BAD_REQUEST, err.to_string()),
+                Err(err) => response::text(StatusCode::BAD_REQUEST, err.to_string()),
             },
-            _ => answer::text(StatusCode::METHOD_NOT_ALLOWED, "use GET or POST"),
+            _ => response::text(StatusCode::METHOD_NOT_ALLOWED, "use GET or POST"),
         }
     }
 }
@@ -69,26 +69,26 @@
         }
     }
 
-    fn read(&self, key: &str) -> Response<answer::Body> {
+    fn read(&self, key: &str) -> Response<response::Body> {
         match self.rows.get(key) {
-            Some(row) => answer::json(StatusCode::OK, &json!(row)),
-            None => answer::text(StatusCode::NOT_FOUND, "no such row"),
+            Some(row) => response::json(StatusCode::OK, &json!(row)),
+            None => response::text(StatusCode::NOT_FOUND, "no such row"),
         }
     }
 
     // All writes take effect, or none.
-    fn write_all(&mut self, writes: Vec<Write>) -> Response<answer::Body> {
+    fn write_all(&mut self, writes: Vec<Write>) -> Response<response::Body> {
         for write in &writes {
             let version = self.rows.get(&write.key).map_or(0, |row| row.version);
             if version != write.expected {
                 let found = json!({ "key": write.key, "version": version });
-                return answer::json(StatusCode::PRECONDITION_FAILED, &found);
+                return response::json(StatusCode::PRECONDITION_FAILED, &found);
             }
         }
         for write in writes {
             let Write { key, expected, write_id, value } = write;
             self.rows.insert(key, table::Row { version: expected + 1, write_id, value });
         }
-        answer::text(StatusCode::OK, "written")
+        response::text(StatusCode::OK, "written")
     }
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Request, Response, StatusCode, body, header};
 use hyper_util::{client::legacy, rt};
 
-use crate::answer;
+use crate::response;
 
 /// Why a call has no answer.
 #[derive(Debug)]
@@ -103,7 +103,7 @@
         let whole = async {
             let answer = self.send(request, limit).await?;
             let (head, body) = answer.into_parts();
-            let body = answer::read_body(body, MAX_REPLY_BYTES).await;
+            let body = response::read_body(body, MAX_REPLY_BYTES).await;
             let body = body.ok_or_else(|| CallError::Broken("body ended early".to_string()))?;
             Ok(Reply { status: head.status, headers: head.headers, body })
         };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,6 @@
 //! file.finish().unwrap();
 //! ```
 
-pub mod answer;
 pub mod client;
 pub mod clock;
 pub mod command;
@@ -25,6 +24,7 @@
 pub mod objects;
 pub mod platform;
 pub mod reply;
+pub mod response;
 pub mod server;
 pub mod service_list;
 pub mod settings;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -9,7 +9,7 @@
 
 use rhubarb_core::outcome;
 
-use crate::{answer, locks};
+use crate::{locks, response};
 
 /// Port of the metrics of an entry on the users' platform, named in the deploy file.
 pub const PLATFORM_PORT: u16 = 9464;
@@ -98,11 +98,11 @@
     }
 
     /// Answer to `GET /metrics`.
-    pub fn answer(&self) -> Response<answer::Body> {
+    pub fn response(&self) -> Response<response::Body> {
         let mut content = String::new();
         match text::encode(&mut content, &self.lock()) {
-            Ok(()) => answer::text(StatusCode::OK, content),
-            Err(err) => answer::text(StatusCode::INTERNAL_SERVER_ERROR, err.to_string()),
+            Ok(()) => response::text(StatusCode::OK, content),
+            Err(err) => response::text(StatusCode::INTERNAL_SERVER_ERROR, err.to_string()),
         }
     }
 
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::answer;
+use crate::response;
 
 /// Pieces that may wait for a caller that reads slowly.
 const PIECES: usize = 16;
@@ -14,7 +14,7 @@
 /// The caller's side of a request.
 #[derive(Debug)]
 pub struct Reply {
-    head: Option<oneshot::Sender<Response<answer::Body>>>,
+    head: Option<oneshot::Sender<Response<response::Body>>>,
     body: Option<mpsc::Sender<io::Result<Bytes>>>,
 }
 
@@ -31,7 +31,7 @@
 
 impl Reply {
     /// Makes the two sides of a reply.
-    pub fn new() -> (Reply, oneshot::Receiver<Response<answer::Body>>) {
+    pub fn new() -> (Reply, oneshot::Receiver<Response<response::Body>>) {
         let (head, receiver) = oneshot::channel();
         (Reply { head: Some(head), body: None }, receiver)
     }
@@ -42,7 +42,7 @@
     }
 
     /// Gives the whole answer.
-    pub fn answer(&mut self, response: Response<answer::Body>) {
+    pub fn answer(&mut self, response: Response<response::Body>) {
         if let Some(head) = self.head.take() {
             let _ = head.send(response);
         }
@@ -52,7 +52,7 @@
     pub fn begin(&mut self, response: Response<()>) {
         let (sender, receiver) = mpsc::channel(PIECES);
         self.body = Some(sender);
-        self.answer(response.map(|()| answer::stream(receiver)));
+        self.answer(response.map(|()| response::stream(receiver)));
     }
 
     /// Sends a piece; false if the caller is gone or does not read until `deadline`.
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/response.rs
@@ -19,14 +19,14 @@
 /// Makes a body of the pieces that come from `receiver`; it ends when all senders are dropped,
 /// and breaks the connection off at an error.
 pub fn stream(receiver: mpsc::Receiver<io::Result<Bytes>>) -> Body {
-    Pieces { receiver }.boxed()
+    ChannelBody { receiver }.boxed()
 }
 
-struct Pieces {
+struct ChannelBody {
     receiver: mpsc::Receiver<io::Result<Bytes>>,
 }
 
-impl body::Body for Pieces {
+impl body::Body for ChannelBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -6,7 +6,7 @@
 use hyper_util::rt;
 use tokio::{net as tcp, sync as lock};
 
-use crate::answer;
+use crate::response;
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
@@ -66,7 +66,7 @@
 pub async fn serve<H, F>(listener: tcp::TcpListener, limits: Limits, handler: H)
 where
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: future::Future<Output = Response<answer::Body>> + Send + 'static,
+    F: future::Future<Output = Response<response::Body>> + Send + 'static,
 {
     let (_open, never) = lock::watch::channel(false);
     serve_until(listener, limits, never, handler).await;
@@ -81,7 +81,7 @@
     handler: H,
 ) where
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: future::Future<Output = Response<answer::Body>> + Send + 'static,
+    F: future::Future<Output = Response<response::Body>> + Send + 'static,
 {
     let slots = sync::Arc::new(lock::Semaphore::new(limits.connections));
     loop {
@@ -112,7 +112,7 @@
 ) -> Result<(), hyper::Error>
 where
     H: Fn(Request<body::Incoming>) -> F,
-    F: future::Future<Output = Response<answer::Body>>,
+    F: future::Future<Output = Response<response::Body>>,
 {
     let _ = set_nodelay(&stream);
     let service = service::service_fn(|request| {
