--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -5,7 +5,7 @@
 use hyper::{Request, Response, StatusCode, body, header};
 
 use rhubarb_core::{outcome, routing};
-use rhubarb_node::{clock, reply, response};
+use rhubarb_node::{clock, responder, response};
 use rhubarb_platform::request;
 
 use outcome::{Reason, Refusal};
@@ -79,7 +79,7 @@
 async fn start(call: call::Call) -> Response<response::Body> {
     let open = call::Open::new(&call.edge);
     call.edge.directory().service(&call.service).repeats.note_request(clock::now());
-    let (reply, receiver) = reply::Reply::new();
+    let (reply, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
         let _open = open;
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 
 use rhubarb_core::{flow, ids, outcome, pool};
-use rhubarb_node::{clock, reply, response};
+use rhubarb_node::{clock, responder, response};
 use rhubarb_platform::{answer as forms, request};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct Plain {
     call: call::Call,
-    reply: reply::Reply,
+    reply: responder::Responder,
     flow: flow::Flow,
     // A server's own failure, which is the answer if nothing better comes.
     failure: Option<Whole>,
@@ -45,7 +45,7 @@
 }
 
 impl Plain {
-    pub(crate) fn new(call: call::Call, reply: reply::Reply) -> Plain {
+    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Plain {
         let flow = flow::Flow::new(flow::Path::Direct, call.rules(MAX_RETRIES));
         Plain { call, reply, flow, failure: None, answer: None, belief: None }
     }
@@ -132,19 +132,19 @@
         let sent_at = clock::now();
         let whole = exchange::fetch(&edge.links, target.address, request);
         match self.reply.wait(whole, deadline).await {
-            reply::Waited::Gone => Attempt::Gone,
-            reply::Waited::Expired => {
+            responder::WaitOutcome::Disconnected => Attempt::Gone,
+            responder::WaitOutcome::Expired => {
                 Attempt::Failed(Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
             }
-            reply::Waited::Event(Err(links::SendError::Unsent(err))) => {
+            responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: not sent");
                 Attempt::Failed(Refusal::not_run(Reason::NoServer, RETRY_SOON))
             }
-            reply::Waited::Event(Err(links::SendError::Broken(err))) => {
+            responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: broke off");
                 Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON))
             }
-            reply::Waited::Event(Ok(read)) => self.take(target, sent_at, read),
+            responder::WaitOutcome::Event(Ok(read)) => self.take(target, sent_at, read),
         }
     }
 
@@ -217,7 +217,7 @@
             age_ms = call.age_ms(),
             "edge: answered"
         );
-        self.reply.answer(whole.head.map(|()| response::full(whole.body)));
+        self.reply.respond(whole.head.map(|()| response::full(whole.body)));
     }
 
     fn refuse(&mut self, refusal: Refusal) {
@@ -227,7 +227,7 @@
         if let Some(failure) = self.failure.take() {
             return self.finish(failure);
         }
-        self.reply.answer(refuse::late(&self.call, refusal));
+        self.reply.respond(refuse::late(&self.call, refusal));
     }
 }
 
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -3,7 +3,7 @@
 use std::{sync, time};
 
 use rhubarb_core::{fleet, ids, outcome, pool};
-use rhubarb_node::{clock, metrics, reply};
+use rhubarb_node::{clock, metrics, responder};
 use rhubarb_platform::{answer as forms, engine, request};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
@@ -91,7 +91,7 @@
 /// Has the prompt read at a server that has not been `tried`.
 pub(crate) async fn read(
     prompt: Prompt<'_>,
-    reply: &mut reply::Reply,
+    reply: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> Read {
     let mut tried = tried.to_vec();
@@ -106,7 +106,7 @@
 
 async fn read_once(
     prompt: Prompt<'_>,
-    reply: &mut reply::Reply,
+    reply: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> Read {
     let call = prompt.call;
@@ -125,18 +125,18 @@
     let reading = exchange::fetch(&call.edge.links, target.address, request);
     let waited = reply.wait(reading, deadline).await;
     let result = match waited {
-        reply::Waited::Gone => return Read::Gone,
-        reply::Waited::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
-        reply::Waited::Event(Err(links::SendError::Unsent(err))) => {
+        responder::WaitOutcome::Disconnected => return Read::Gone,
+        responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
+        responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill not sent");
             note_end(call, &target.id, pool::End::Bad(Reason::NoServer));
             return Read::Unsent(target.id);
         }
-        reply::Waited::Event(Err(links::SendError::Broken(err))) => {
+        responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill broke off");
             Err(Refusal::not_run(Reason::LostContact, RETRY_SOON))
         }
-        reply::Waited::Event(Ok(read)) => take(call, &target, &read),
+        responder::WaitOutcome::Event(Ok(read)) => take(call, &target, &read),
     };
     let end = result
         .as_ref()
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 
 use rhubarb_core::{engine, engines, fleet, ids, outcome, pool};
-use rhubarb_node::{clock, reply};
+use rhubarb_node::{clock, responder};
 use rhubarb_platform::engine as calls;
 
 use outcome::{Reason, Refusal};
@@ -106,7 +106,7 @@
 /// Waits for room until `wait_by`; asks at least once.
 pub(crate) async fn ask(
     call: &call::Call,
-    reply: &mut reply::Reply,
+    reply: &mut responder::Responder,
     need: engine::Need,
     tried: &[ids::ServerName],
     wait: Wait,
@@ -122,21 +122,23 @@
         let freed = call.edge.room_freed.notified();
         while let Some(mut room) = take(call, place, need, &tried) {
             match reply.wait(hold(call, &mut room, need), call.deadline).await {
-                reply::Waited::Event(Held::Yes) => {
+                responder::WaitOutcome::Event(Held::Yes) => {
                     note_belief(call, &room.target.id, need, "edge: memory set aside");
                     return Asked::Granted(room);
                 }
-                reply::Waited::Event(Held::Full) => {}
-                reply::Waited::Event(Held::Unreachable) => tried.push(room.target.id.clone()),
-                reply::Waited::Gone => return Asked::Gone,
-                reply::Waited::Expired => break,
+                responder::WaitOutcome::Event(Held::Full) => {}
+                responder::WaitOutcome::Event(Held::Unreachable) => {
+                    tried.push(room.target.id.clone())
+                }
+                responder::WaitOutcome::Disconnected => return Asked::Gone,
+                responder::WaitOutcome::Expired => break,
             }
         }
         if clock::now() >= wait_by {
             return Asked::Refused(no_room());
         }
         let wake_at = wait_by.min(clock::now() + RECHECK);
-        if let reply::Waited::Gone = reply.wait(freed, wake_at).await {
+        if let responder::WaitOutcome::Disconnected = reply.wait(freed, wake_at).await {
             return Asked::Gone;
         }
     }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 
 use rhubarb_core::{engine, engines, events, flow, ids, outcome, pool, routing};
-use rhubarb_node::{clock, reply, response};
+use rhubarb_node::{clock, responder, response};
 use rhubarb_platform::{answer as forms, request};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct Streaming {
     call: call::Call,
-    reply: reply::Reply,
+    reply: responder::Responder,
     flow: flow::Flow,
     need: engine::Need,
     room: Option<room::Room>,
@@ -51,7 +51,7 @@
 const UNKNOWN_NEED: engine::Need = engine::Need { prompt: 1_000, output: 500 };
 
 impl Streaming {
-    pub(crate) fn new(call: call::Call, reply: reply::Reply) -> Streaming {
+    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Streaming {
         let last_event = call.head.last_event;
         Streaming {
             need: call.head.need.unwrap_or(UNKNOWN_NEED),
@@ -243,17 +243,17 @@
         let edge = self.call.edge.clone();
         let sending = edge.links.send(target.address, request);
         Sent::Yes(match self.reply.wait(sending, self.call.deadline).await {
-            reply::Waited::Gone => flow::Event::CallerGone,
-            reply::Waited::Expired => flow::Event::Expired,
-            reply::Waited::Event(Err(links::SendError::Unsent(err))) => {
+            responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
+            responder::WaitOutcome::Expired => flow::Event::Expired,
+            responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: not sent");
                 return Sent::No(Reason::NoServer);
             }
-            reply::Waited::Event(Err(links::SendError::Broken(err))) => {
+            responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: broke off");
                 self.broken(&target.id, Reason::LostContact)
             }
-            reply::Waited::Event(Ok(answered)) => self.take(&target.id, answered).await,
+            responder::WaitOutcome::Event(Ok(answered)) => self.take(&target.id, answered).await,
         })
     }
 
@@ -317,15 +317,15 @@
         let edge = self.call.edge.clone();
         let reading = exchange::read_whole(&edge.links, answered);
         match self.reply.wait(reading, self.call.deadline).await {
-            reply::Waited::Gone => flow::Event::CallerGone,
-            reply::Waited::Expired => flow::Event::Expired,
-            reply::Waited::Event(exchange::Read { head, body: Some(body) })
-                if !self.reply.has_begun() =>
+            responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
+            responder::WaitOutcome::Expired => flow::Event::Expired,
+            responder::WaitOutcome::Event(exchange::Read { head, body: Some(body) })
+                if !self.reply.has_started() =>
             {
-                self.reply.answer(forms::to_caller(&head).map(|()| response::full(body)));
+                self.reply.respond(forms::to_caller(&head).map(|()| response::full(body)));
                 flow::Event::Ended
             }
-            reply::Waited::Event(_) => self.broken(server, Reason::EngineFailed),
+            responder::WaitOutcome::Event(_) => self.broken(server, Reason::EngineFailed),
         }
     }
 
@@ -339,24 +339,24 @@
         let mut reader = reader::Reader::new(answered.response.into_body());
         loop {
             let event = match self.reply.wait(reader.next(), self.silence_ends()).await {
-                reply::Waited::Gone => return flow::Event::CallerGone,
-                reply::Waited::Expired if clock::now() >= self.call.deadline => {
+                responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
+                responder::WaitOutcome::Expired if clock::now() >= self.call.deadline => {
                     return flow::Event::Expired;
                 }
-                reply::Waited::Expired => match self.find_spare(server).await {
+                responder::WaitOutcome::Expired => match self.find_spare(server).await {
                     Some(room) => return self.move_to(room, server),
                     // A preempted run goes on later; its silence alone does not end the answer.
                     None => continue,
                 },
-                reply::Waited::Event(reader::Piece::Broken(err)) => {
+                responder::WaitOutcome::Event(reader::Piece::Broken(err)) => {
                     tracing::info!(id = self.call.id(), server, err, "edge: stream broke off");
                     return self.broken(server, Reason::LostContact);
                 }
-                reply::Waited::Event(reader::Piece::End) => {
+                responder::WaitOutcome::Event(reader::Piece::End) => {
                     self.call.edge.links.keep(answered.link, told);
                     return flow::Event::Ended;
                 }
-                reply::Waited::Event(reader::Piece::Event(event)) => event,
+                responder::WaitOutcome::Event(reader::Piece::Event(event)) => event,
             };
             if let Some(ended) = self.pass(server, &head, event).await {
                 return ended;
@@ -406,9 +406,9 @@
                 return Some(self.broken(server, Reason::EngineFailed));
             }
         }
-        if !self.reply.has_begun() {
+        if !self.reply.has_started() {
             self.first_at = Some(clock::now());
-            self.reply.begin(head.clone());
+            self.reply.start_stream(head.clone());
         }
         self.flow.handle(&flow::Event::Streamed);
         if !self.reply.send(Bytes::from(event.bytes), self.call.deadline).await {
@@ -471,15 +471,15 @@
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
-        if self.reply.has_begun() {
+        if self.reply.has_started() {
             refuse::note(&self.call, refusal);
-            return self.reply.break_off(refusal.reason.name()).await;
+            return self.reply.abort(refusal.reason.name()).await;
         }
         if refusal.outcome == Outcome::Cancelled {
             return refuse::note(&self.call, refusal);
         }
         let response = refuse::late(&self.call, refusal);
-        self.reply.answer(response);
+        self.reply.respond(response);
     }
 }
 
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use rhubarb_core::{flow, ids, list, outcome, pool};
-use rhubarb_node::{clock, reply};
+use rhubarb_node::{clock, responder};
 use rhubarb_wire::message;
 
 use crate::{admit, channel, openai, peer, placing, refuse, teller};
@@ -155,8 +155,8 @@
         let waited = self.teller.reply.wait(run.next(), self.ticket.deadline).await;
         self.decode = Some(Placed { server: server.clone(), run });
         match waited {
-            reply::Waited::Event(channel::Event::Reserved) => flow::Event::Reserved,
-            reply::Waited::Event(channel::Event::Head(head)) => {
+            responder::WaitOutcome::Event(channel::Event::Reserved) => flow::Event::Reserved,
+            responder::WaitOutcome::Event(channel::Event::Head(head)) => {
                 self.prompt_tokens = head.prompt_tokens().unwrap_or(0).into();
                 flow::Event::Replayed
             }
@@ -167,15 +167,15 @@
     fn interrupted(
         &self,
         server: ids::ServerName,
-        waited: reply::Waited<channel::Event>,
+        waited: responder::WaitOutcome<channel::Event>,
     ) -> flow::Event {
         match waited {
-            reply::Waited::Gone => flow::Event::CallerGone,
-            reply::Waited::Expired => flow::Event::Expired,
-            reply::Waited::Event(channel::Event::Refused(refusal)) => {
+            responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
+            responder::WaitOutcome::Expired => flow::Event::Expired,
+            responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
                 self.failed(Some(server), refusal)
             }
-            reply::Waited::Event(_) => {
+            responder::WaitOutcome::Event(_) => {
                 self.failed(Some(server), Refusal::unknown(Reason::EngineFailed, RETRY_SOON))
             }
         }
@@ -217,13 +217,13 @@
         });
         let mut run = peer.start(run, contact, order);
         match self.teller.reply.wait(run.next(), self.ticket.deadline).await {
-            reply::Waited::Event(channel::Event::Prefilled(prefilled)) => {
+            responder::WaitOutcome::Event(channel::Event::Prefilled(prefilled)) => {
                 self.count_prefill(&prefilled);
                 self.prefilled = Some(prefilled);
                 self.source = Some(server.clone());
                 flow::Event::Prefilled
             }
-            reply::Waited::Event(channel::Event::Refused(refusal)) => {
+            responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
                 let refusal = Refusal { outcome: Outcome::NotRun, ..refusal };
                 self.failed(Some(server.clone()), refusal)
             }
@@ -268,13 +268,15 @@
                 return self.unreachable(None, self.ticket.key.is_some());
             };
             match self.teller.reply.wait(placed.run.next(), self.ticket.deadline).await {
-                reply::Waited::Event(channel::Event::Head(_) | channel::Event::Reserved) => {}
-                reply::Waited::Event(channel::Event::Bytes(bytes)) => {
+                responder::WaitOutcome::Event(
+                    channel::Event::Head(_) | channel::Event::Reserved,
+                ) => {}
+                responder::WaitOutcome::Event(channel::Event::Bytes(bytes)) => {
                     if !self.take_bytes(&bytes).await {
                         return flow::Event::CallerGone;
                     }
                 }
-                reply::Waited::Event(channel::Event::End) => return flow::Event::Ended,
+                responder::WaitOutcome::Event(channel::Event::End) => return flow::Event::Ended,
                 waited => {
                     let server = placed.server.clone();
                     return self.interrupted(server, waited);
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode, body, http};
 
 use rhubarb_core::{list, outcome};
-use rhubarb_node::{clock, control, reply, response};
+use rhubarb_node::{clock, control, responder, response};
 
 use crate::{admit, completion, entry, openai, plain, refuse, tag, teller};
 
@@ -101,7 +101,7 @@
         return Ok(refuse::answer(refusal, Some(&detail)));
     };
     let style = openai::Style { form, id: id.to_string(), model: request.model.clone() };
-    let (reply, answer) = reply::Reply::new();
+    let (reply, answer) = responder::Responder::new();
     let teller = teller::Teller::new(reply, style, request.stream);
     let completion = completion::Completion::new(ticket, targets, request, teller);
     tokio::spawn(completion.drive());
@@ -139,7 +139,7 @@
         body: content,
         id: id.to_string(),
     };
-    let (reply, answer) = reply::Reply::new();
+    let (reply, answer) = responder::Responder::new();
     tokio::spawn(plain::Plain::new(ticket, target, call, reply).drive());
     Ok(answer.await.unwrap_or_else(|_| broken()))
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, Response, StatusCode, header};
 
 use rhubarb_core::{flow, ids, list, outcome, pool, routing};
-use rhubarb_node::{clock, hop, reply};
+use rhubarb_node::{clock, hop, responder};
 use rhubarb_wire::{message, offer};
 
 use crate::{admit, channel, placing, refuse, tag};
@@ -34,7 +34,7 @@
     ticket: admit::Ticket,
     target: time::Duration,
     call: Call,
-    reply: reply::Reply,
+    reply: responder::Responder,
     flow: flow::Flow,
 }
 
@@ -43,7 +43,7 @@
         ticket: admit::Ticket,
         target: time::Duration,
         call: Call,
-        reply: reply::Reply,
+        reply: responder::Responder,
     ) -> Plain {
         let flow = flow::Flow::new(flow::Path::Direct, rules(&ticket, &call.method));
         Plain { ticket, target, call, reply, flow }
@@ -120,19 +120,19 @@
         let mut run = peer.start(run, contact, order);
         loop {
             match self.reply.wait(run.next(), self.ticket.deadline).await {
-                reply::Waited::Event(channel::Event::Head(head)) => self.begin(&head),
-                reply::Waited::Event(channel::Event::Bytes(bytes)) => {
+                responder::WaitOutcome::Event(channel::Event::Head(head)) => self.begin(&head),
+                responder::WaitOutcome::Event(channel::Event::Bytes(bytes)) => {
                     if !self.reply.send(bytes.into(), self.ticket.deadline).await {
                         return flow::Event::CallerGone;
                     }
                 }
-                reply::Waited::Event(channel::Event::End) => return flow::Event::Ended,
-                reply::Waited::Event(channel::Event::Refused(refusal)) => {
+                responder::WaitOutcome::Event(channel::Event::End) => return flow::Event::Ended,
+                responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
                     return self.failed(Some(server.clone()), refusal);
                 }
-                reply::Waited::Event(_) => {}
-                reply::Waited::Gone => return flow::Event::CallerGone,
-                reply::Waited::Expired => return flow::Event::Expired,
+                responder::WaitOutcome::Event(_) => {}
+                responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
+                responder::WaitOutcome::Expired => return flow::Event::Expired,
             }
         }
     }
@@ -150,7 +150,7 @@
             }
         }
         tag::insert(response.headers_mut(), &self.call.id);
-        self.reply.begin(response);
+        self.reply.start_stream(response);
         self.flow.handle(&flow::Event::Streamed);
     }
 
@@ -166,12 +166,12 @@
 
     async fn refuse(&mut self, refusal: Refusal) {
         self.ticket.close(refusal.outcome, Some(refusal.reason));
-        if self.reply.has_begun() {
-            return self.reply.break_off(refusal.reason.name()).await;
+        if self.reply.has_started() {
+            return self.reply.abort(refusal.reason.name()).await;
         }
         let mut response = refuse::answer(refusal, None);
         tag::insert(response.headers_mut(), &self.call.id);
-        self.reply.answer(response);
+        self.reply.respond(response);
     }
 }
 
--- a/crates/entry/src/teller.rs
+++ b/crates/entry/src/teller.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode, header};
 
 use rhubarb_core::outcome;
-use rhubarb_node::{clock, reply, response};
+use rhubarb_node::{clock, responder, response};
 
 use crate::{openai, refuse, tag};
 
@@ -16,14 +16,14 @@
 /// The caller's side of a model request.
 #[derive(Debug)]
 pub(crate) struct Teller {
-    pub(crate) reply: reply::Reply,
+    pub(crate) reply: responder::Responder,
     style: openai::Style,
     stream: bool,
     text: String,
 }
 
 impl Teller {
-    pub(crate) fn new(reply: reply::Reply, style: openai::Style, stream: bool) -> Teller {
+    pub(crate) fn new(reply: responder::Responder, style: openai::Style, stream: bool) -> Teller {
         Teller { reply, style, stream, text: String::new() }
     }
 
@@ -39,7 +39,7 @@
     }
 
     fn begin(&mut self) {
-        if self.reply.has_begun() {
+        if self.reply.has_started() {
             return;
         }
         let mut head = Response::new(());
@@ -49,7 +49,7 @@
         let no_cache = header::HeaderValue::from_static("no-cache");
         headers.insert(header::CACHE_CONTROL, no_cache);
         tag::insert(headers, &self.style.id);
-        self.reply.begin(head);
+        self.reply.start_stream(head);
     }
 
     /// Ends a whole answer; false if the caller is gone.
@@ -71,16 +71,16 @@
 
     /// Tells that the request was refused or failed; a stream that has begun is broken off.
     pub(crate) async fn refuse(&mut self, refusal: outcome::Refusal) {
-        if !self.reply.has_begun() {
+        if !self.reply.has_started() {
             return self.answer(refuse::answer(refusal, None));
         }
         let event = format!("data: {}\n\n", refuse::body(refusal, None));
         self.reply.send(event.into(), clock::now() + LAST_WORD).await;
-        self.reply.break_off(refusal.reason.name()).await;
+        self.reply.abort(refusal.reason.name()).await;
     }
 
     fn answer(&mut self, mut response: Response<response::Body>) {
         tag::insert(response.headers_mut(), &self.style.id);
-        self.reply.answer(response);
+        self.reply.respond(response);
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod metrics;
 pub mod objects;
 pub mod platform;
-pub mod reply;
+pub mod responder;
 pub mod response;
 pub mod server;
 pub mod service_list;
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/responder.rs
@@ -9,50 +9,50 @@
 use crate::response;
 
 /// Pieces that may wait for a caller that reads slowly.
-const PIECES: usize = 16;
+const MAX_CHUNKS: usize = 16;
 
 /// The caller's side of a request.
 #[derive(Debug)]
-pub struct Reply {
+pub struct Responder {
     head: Option<oneshot::Sender<Response<response::Body>>>,
     body: Option<mpsc::Sender<io::Result<Bytes>>>,
 }
 
 /// Result of waiting for an event.
 #[derive(Debug)]
-pub enum Waited<T> {
+pub enum WaitOutcome<T> {
     /// The event.
     Event(T),
     /// The caller closed its connection.
-    Gone,
+    Disconnected,
     /// The deadline passed.
     Expired,
 }
 
-impl Reply {
+impl Responder {
     /// Makes the two sides of a reply.
-    pub fn new() -> (Reply, oneshot::Receiver<Response<response::Body>>) {
+    pub fn new() -> (Responder, oneshot::Receiver<Response<response::Body>>) {
         let (head, receiver) = oneshot::channel();
-        (Reply { head: Some(head), body: None }, receiver)
+        (Responder { head: Some(head), body: None }, receiver)
     }
 
     /// Whether the answer has begun.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.head.is_none()
     }
 
     /// Gives the whole answer.
-    pub fn answer(&mut self, response: Response<response::Body>) {
+    pub fn respond(&mut self, response: Response<response::Body>) {
         if let Some(head) = self.head.take() {
             let _ = head.send(response);
         }
     }
 
     /// Begins an answer whose body follows in pieces.
-    pub fn begin(&mut self, response: Response<()>) {
-        let (sender, receiver) = mpsc::channel(PIECES);
+    pub fn start_stream(&mut self, response: Response<()>) {
+        let (sender, receiver) = mpsc::channel(MAX_CHUNKS);
         self.body = Some(sender);
-        self.answer(response.map(|()| response::stream(receiver)));
+        self.respond(response.map(|()| response::stream(receiver)));
     }
 
     /// Sends a piece; false if the caller is gone or does not read until `deadline`.
@@ -64,14 +64,14 @@
     }
 
     /// Breaks the answer off, so that the caller cannot take it for whole.
-    pub async fn break_off(&mut self, why: &str) {
+    pub async fn abort(&mut self, why: &str) {
         if let Some(body) = self.body.take() {
             let _ = body.try_send(Err(io::Error::other(why.to_string())));
         }
     }
 
     /// Waits until the caller is gone.
-    pub async fn gone(&mut self) {
+    pub async fn closed(&mut self) {
         if let Some(head) = &mut self.head {
             head.closed().await;
         } else if let Some(body) = &self.body {
@@ -84,12 +84,12 @@
         &mut self,
         event: impl Future<Output = T>,
         deadline: time::Instant,
-    ) -> Waited<T> {
+    ) -> WaitOutcome<T> {
         tokio::select! {
             biased;
-            event = event => Waited::Event(event),
-            () = self.gone() => Waited::Gone,
-            () = tokio::time::sleep_until(deadline.into()) => Waited::Expired,
+            event = event => WaitOutcome::Event(event),
+            () = self.closed() => WaitOutcome::Disconnected,
+            () = tokio::time::sleep_until(deadline.into()) => WaitOutcome::Expired,
         }
     }
 }
