--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -53,7 +53,7 @@
     let retry = time::Duration::from_secs(1);
     match err {
         client::CallError::Unreachable(_) => Refusal::not_run(Reason::EngineFailed, retry),
-        client::CallError::Broken(_) => Refusal::unknown(Reason::EngineFailed, retry),
-        client::CallError::Silent(_) => Refusal::unknown(Reason::EngineSilent, retry),
+        client::CallError::Interrupted(_) => Refusal::unknown(Reason::EngineFailed, retry),
+        client::CallError::TimedOut(_) => Refusal::unknown(Reason::EngineSilent, retry),
     }
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -15,9 +15,9 @@
     /// No connection could be made, so the call did not reach the server.
     Unreachable(String),
     /// The call was sent and its answer is missing or broken off.
-    Broken(String),
+    Interrupted(String),
     /// The call was sent and no answer came in time.
-    Silent(time::Duration),
+    TimedOut(time::Duration),
 }
 
 impl fmt::Display for CallError {
@@ -26,9 +26,9 @@
             CallError::Unreachable(err) => {
                 write!(f, "cannot connect: {err}; check that the server runs at this address")
             }
-            CallError::Broken(err) => write!(f, "the answer broke off: {err}; try again"),
-            CallError::Silent(limit) => {
-                write!(f, "no answer within {limit:?}; check whether the server is overloaded")
+            CallError::Interrupted(err) => write!(f, "the answer broke off: {err}; try again"),
+            CallError::TimedOut(timeout) => {
+                write!(f, "no answer within {timeout:?}; check whether the server is overloaded")
             }
         }
     }
@@ -44,7 +44,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct FullResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -53,8 +53,8 @@
     pub body: Bytes,
 }
 
-const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(2);
-const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 impl Default for Client {
     fn default() -> Client {
@@ -67,7 +67,7 @@
     pub fn new() -> Client {
         let mut connector = legacy::connect::HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_LIMIT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         // By default a call goes out again only if its pooled connection closed before any of it
         // was written, so it still runs at most once.
         let builder = legacy::Client::builder(rt::TokioExecutor::new());
@@ -81,12 +81,12 @@
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Response<body::Incoming>, CallError> {
-        match tokio::time::timeout(limit, self.inner.request(request)).await {
-            Err(_) => Err(CallError::Silent(limit)),
+        match tokio::time::timeout(timeout, self.inner.request(request)).await {
+            Err(_) => Err(CallError::TimedOut(timeout)),
             Ok(Err(err)) if err.is_connect() => Err(CallError::Unreachable(describe(&err))),
-            Ok(Err(err)) => Err(CallError::Broken(describe(&err))),
+            Ok(Err(err)) => Err(CallError::Interrupted(describe(&err))),
             Ok(Ok(answer)) => Ok(answer),
         }
     }
@@ -98,24 +98,25 @@
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
-        limit: time::Duration,
-    ) -> Result<Reply, CallError> {
+        timeout: time::Duration,
+    ) -> Result<FullResponse, CallError> {
         let whole = async {
-            let answer = self.send(request, limit).await?;
+            let answer = self.send(request, timeout).await?;
             let (head, body) = answer.into_parts();
-            let body = response::read_body(body, MAX_REPLY_BYTES).await;
-            let body = body.ok_or_else(|| CallError::Broken("body ended early".to_string()))?;
-            Ok(Reply { status: head.status, headers: head.headers, body })
+            let body = response::read_body(body, MAX_RESPONSE_BYTES).await;
+            let body =
+                body.ok_or_else(|| CallError::Interrupted("body ended early".to_string()))?;
+            Ok(FullResponse { status: head.status, headers: head.headers, body })
         };
-        tokio::time::timeout(limit, whole).await.unwrap_or(Err(CallError::Silent(limit)))
+        tokio::time::timeout(timeout, whole).await.unwrap_or(Err(CallError::TimedOut(timeout)))
     }
 
     /// Gets `url`.
     ///
     /// # Errors
     /// Returns an error as [`Client::fetch`] does.
-    pub async fn get(&self, url: &str, limit: time::Duration) -> Result<Reply, CallError> {
-        self.fetch(request(Method::GET, url, Bytes::new())?, limit).await
+    pub async fn get(&self, url: &str, timeout: time::Duration) -> Result<FullResponse, CallError> {
+        self.fetch(request(Method::GET, url, Bytes::new())?, timeout).await
     }
 
     /// Posts JSON to `url`.
@@ -126,9 +127,9 @@
         &self,
         url: &str,
         content: &serde_json::Value,
-        limit: time::Duration,
-    ) -> Result<Reply, CallError> {
-        self.fetch(json_request(url, content)?, limit).await
+        timeout: time::Duration,
+    ) -> Result<FullResponse, CallError> {
+        self.fetch(json_request(url, content)?, timeout).await
     }
 }
 
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -35,7 +35,7 @@
 }
 
 /// Error for an answer with an unexpected status.
-pub(crate) fn unexpected(reply: &client::Reply) -> PlatformError {
+pub(crate) fn unexpected(reply: &client::FullResponse) -> PlatformError {
     let what = format!("status {}", reply.status.as_u16());
     let is_busy = reply.status == hyper::StatusCode::TOO_MANY_REQUESTS;
     if reply.status.is_server_error() || is_busy {
@@ -47,7 +47,7 @@
 
 /// Reads a JSON body.
 pub(crate) fn read_json<T: serde::de::DeserializeOwned>(
-    reply: &client::Reply,
+    reply: &client::FullResponse,
 ) -> Result<T, PlatformError> {
     serde_json::from_slice(&reply.body).map_err(|err| PlatformError::Protocol(err.to_string()))
 }
