--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -61,7 +61,8 @@
     };
     let write_id = format!("{:016x}", agent.incarnation);
     let value = serde_json::json!(Slot { handed_over: None }).to_string();
-    let table::Written::Done(fence) = agent.table.write(&key, version, &write_id, &value).await?
+    let table::WriteOutcome::Committed(fence) =
+        agent.table.write(&key, version, &write_id, &value).await?
     else {
         return Ok(false);
     };
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -106,11 +106,11 @@
         let content = content.map_err(|_| CommandError::Input("the list has mistakes".into()))?;
         let change = format!("{:032x}", rand::random::<u128>());
         match self.table.commit(&writes(current.as_ref(), &content, expected, &change)).await {
-            Ok(table::Written::Done(version)) => Ok(Output {
+            Ok(table::WriteOutcome::Committed(version)) => Ok(Output {
                 text: format!("version {version} is accepted"),
                 json: json!({ "version": version, "change": change }),
             }),
-            Ok(table::Written::Conflict(row)) => {
+            Ok(table::WriteOutcome::Conflict(row)) => {
                 Err(conflict(expected, row.map_or(0, |row| row.version)))
             }
             Err(err) => Err(CommandError::Away(format!(
--- a/crates/node/src/instances.rs
+++ b/crates/node/src/instances.rs
@@ -55,7 +55,7 @@
     url: String,
 }
 
-const LIMIT: time::Duration = time::Duration::from_secs(2);
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 impl Instances {
     /// Makes a client for the service at `url`.
@@ -68,9 +68,9 @@
     /// # Errors
     /// Returns an error while the service is away.
     pub async fn read(&self) -> Result<Vec<Instance>, PlatformError> {
-        let reply = self.client.get(&self.url, LIMIT).await?;
+        let reply = self.client.get(&self.url, REQUEST_TIMEOUT).await?;
         if reply.status != StatusCode::OK {
-            return Err(platform::unexpected(&reply));
+            return Err(platform::unexpected_status(&reply));
         }
         platform::read_json(&reply)
     }
--- a/crates/node/src/objects.rs
+++ b/crates/node/src/objects.rs
@@ -15,7 +15,7 @@
     url: String,
 }
 
-const LIMIT: time::Duration = time::Duration::from_secs(5);
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 impl Objects {
     /// Makes a client for the service at `url`.
@@ -30,8 +30,8 @@
     pub async fn put(&self, name: &str, content: String) -> Result<(), PlatformError> {
         let url = format!("{}/{name}", self.url);
         let request = client::request(Method::PUT, &url, content.into())?;
-        let reply = self.client.fetch(request, LIMIT).await?;
-        if reply.status.is_success() { Ok(()) } else { Err(platform::unexpected(&reply)) }
+        let reply = self.client.fetch(request, REQUEST_TIMEOUT).await?;
+        if reply.status.is_success() { Ok(()) } else { Err(platform::unexpected_status(&reply)) }
     }
 
     /// Reads an object.
@@ -39,11 +39,11 @@
     /// # Errors
     /// Returns an error while the service is away.
     pub async fn get(&self, name: &str) -> Result<Option<String>, PlatformError> {
-        let reply = self.client.get(&format!("{}/{name}", self.url), LIMIT).await?;
+        let reply = self.client.get(&format!("{}/{name}", self.url), REQUEST_TIMEOUT).await?;
         match reply.status {
             StatusCode::OK => Ok(Some(String::from_utf8_lossy(&reply.body).into_owned())),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(platform::unexpected(&reply)),
+            _ => Err(platform::unexpected_status(&reply)),
         }
     }
 
@@ -52,9 +52,10 @@
     /// # Errors
     /// Returns an error while the service is away.
     pub async fn names(&self, prefix: &str) -> Result<Vec<String>, PlatformError> {
-        let reply = self.client.get(&format!("{}?prefix={prefix}", self.url), LIMIT).await?;
+        let reply =
+            self.client.get(&format!("{}?prefix={prefix}", self.url), REQUEST_TIMEOUT).await?;
         if reply.status != StatusCode::OK {
-            return Err(platform::unexpected(&reply));
+            return Err(platform::unexpected_status(&reply));
         }
         platform::read_json(&reply)
     }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub enum PlatformError {
     /// The service did not answer, or answered that it is down.
-    Away(String),
+    Unavailable(String),
     /// The service answered something that is not its protocol.
     Protocol(String),
 }
@@ -16,7 +16,7 @@
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Away(what) => {
+            PlatformError::Unavailable(what) => {
                 write!(f, "the platform is away: {what}; it is tried again")
             }
             PlatformError::Protocol(what) => {
@@ -30,16 +30,16 @@
 
 impl From<client::CallError> for PlatformError {
     fn from(err: client::CallError) -> PlatformError {
-        PlatformError::Away(err.to_string())
+        PlatformError::Unavailable(err.to_string())
     }
 }
 
 /// Error for an answer with an unexpected status.
-pub(crate) fn unexpected(reply: &client::FullResponse) -> PlatformError {
+pub(crate) fn unexpected_status(reply: &client::FullResponse) -> PlatformError {
     let what = format!("status {}", reply.status.as_u16());
     let is_busy = reply.status == hyper::StatusCode::TOO_MANY_REQUESTS;
     if reply.status.is_server_error() || is_busy {
-        PlatformError::Away(what)
+        PlatformError::Unavailable(what)
     } else {
         PlatformError::Protocol(what)
     }
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -22,9 +22,9 @@
 
 /// Outcome of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// The write took effect; the row has this version.
-    Done(u64),
+    Committed(u64),
     /// The row had another version, and did not change.
     Conflict(Option<Row>),
 }
@@ -49,7 +49,7 @@
     url: String,
 }
 
-const LIMIT: time::Duration = time::Duration::from_secs(2);
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 impl Table {
     /// Makes a client for the service at `url`.
@@ -62,11 +62,11 @@
     /// # Errors
     /// Returns an error while the service is away.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, PlatformError> {
-        let reply = self.client.get(&format!("{}/{key}", self.url), LIMIT).await?;
+        let reply = self.client.get(&format!("{}/{key}", self.url), REQUEST_TIMEOUT).await?;
         match reply.status {
             StatusCode::OK => Ok(Some(platform::read_json(&reply)?)),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(platform::unexpected(&reply)),
+            _ => Err(platform::unexpected_status(&reply)),
         }
     }
 
@@ -76,26 +76,32 @@
     ///
     /// # Errors
     /// Returns an error while the service is away; the writes may then have taken effect.
-    pub async fn commit(&self, writes: &[Write]) -> Result<Written, PlatformError> {
-        let [first, ..] = writes else { return Ok(Written::Done(0)) };
+    pub async fn commit(&self, writes: &[Write]) -> Result<WriteOutcome, PlatformError> {
+        let [first, ..] = writes else { return Ok(WriteOutcome::Committed(0)) };
         let content = serde_json::json!(writes);
-        match self.client.post_json(&self.url, &content, LIMIT).await {
-            Ok(reply) if reply.status == StatusCode::OK => Ok(Written::Done(first.expected + 1)),
+        match self.client.post_json(&self.url, &content, REQUEST_TIMEOUT).await {
+            Ok(reply) if reply.status == StatusCode::OK => {
+                Ok(WriteOutcome::Committed(first.expected + 1))
+            }
             Ok(reply) if reply.status == StatusCode::PRECONDITION_FAILED => {
-                self.settle(&first.key, &first.write_id).await
+                self.resolve_conflict(&first.key, &first.write_id).await
+            }
+            Ok(reply) => {
+                self.resolve_lost_response(first, platform::unexpected_status(&reply)).await
             }
-            Ok(reply) => self.settle_away(first, platform::unexpected(&reply)).await,
-            Err(err) => self.settle_away(first, err.into()).await,
+            Err(err) => self.resolve_lost_response(first, err.into()).await,
         }
     }
 
-    async fn settle_away(
+    async fn resolve_lost_response(
         &self,
         write: &Write,
         err: PlatformError,
-    ) -> Result<Written, PlatformError> {
+    ) -> Result<WriteOutcome, PlatformError> {
         match self.read(&write.key).await {
-            Ok(Some(row)) if row.write_id == write.write_id => Ok(Written::Done(row.version)),
+            Ok(Some(row)) if row.write_id == write.write_id => {
+                Ok(WriteOutcome::Committed(row.version))
+            }
             _ => Err(err),
         }
     }
@@ -110,7 +116,7 @@
         expected: u64,
         write_id: &str,
         value: &str,
-    ) -> Result<Written, PlatformError> {
+    ) -> Result<WriteOutcome, PlatformError> {
         let write = Write {
             key: key.to_string(),
             expected,
@@ -121,10 +127,14 @@
     }
 
     // A conflict can be with this very write, sent again after its answer was lost.
-    async fn settle(&self, key: &str, write_id: &str) -> Result<Written, PlatformError> {
+    async fn resolve_conflict(
+        &self,
+        key: &str,
+        write_id: &str,
+    ) -> Result<WriteOutcome, PlatformError> {
         match self.read(key).await? {
-            Some(row) if row.write_id == write_id => Ok(Written::Done(row.version)),
-            row => Ok(Written::Conflict(row)),
+            Some(row) if row.write_id == write_id => Ok(WriteOutcome::Committed(row.version)),
+            row => Ok(WriteOutcome::Conflict(row)),
         }
     }
 }
