--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, time};
 
-use rhubarb_node::{clock, server, stop};
+use rhubarb_node::{clock, server, signals};
 
 use crate::{agent, beats, converge, http, link, lists, settings, slot, sweep};
 
@@ -28,7 +28,7 @@
     tokio::spawn(server::serve(web, server::Limits::default(), move |request| {
         http::handle(shared.clone(), request)
     }));
-    stop::wait().await?;
+    signals::wait_for_stop().await?;
     drain(&agent).await;
     Ok(())
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, Response, StatusCode, body};
 
-use rhubarb_node::{clock, logs, metrics, response, server, stop};
+use rhubarb_node::{clock, logs, metrics, response, server, signals};
 use rhubarb_platform::{paths, settings, store};
 
 use tokio::{sync as lock, task};
@@ -41,7 +41,7 @@
     }
     tokio::spawn(watch::sweep(edge.clone()));
     tokio::spawn(duty::run(edge.clone()));
-    tokio::spawn(reload::run(edge.clone(), stop::hangups()?));
+    tokio::spawn(reload::run(edge.clone(), signals::hangups()?));
     let (snapshots, shares) = server::bind_both(peers::address(&edge, edge.settings().ip)).await?;
     let shares = sync::Arc::new(shares);
     let writing = tokio::spawn(ledger::run(edge.clone()));
@@ -67,7 +67,7 @@
             tell(shared.clone(), request)
         }));
     }
-    stop::wait().await?;
+    signals::wait_for_stop().await?;
     edge.stop();
     drain(&edge, &close, serving).await;
     // A record that is being written must not come after the last one.
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -4,7 +4,7 @@
 
 use tokio::net;
 
-use rhubarb_node::{clock, server, stop};
+use rhubarb_node::{clock, server, signals};
 
 use crate::{entry, follow, ingress, ledger, lists, settings};
 
@@ -29,7 +29,7 @@
     tokio::spawn(server::serve(listener, limits, move |request| {
         ingress::handle(shared.clone(), request)
     }));
-    stop::wait().await?;
+    signals::wait_for_stop().await?;
     entry.stop();
     drain(&entry).await;
     flushing.abort();
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::Parser;
 
 use rhubarb_fakes::routes;
-use rhubarb_node::{server, stop};
+use rhubarb_node::{server, signals};
 
 struct Options {
     listen: net::SocketAddr,
@@ -47,6 +47,6 @@
     });
     tokio::select! {
         () = serve => Ok(()),
-        stopped = stop::wait() => stopped,
+        stopped = signals::wait_for_stop() => stopped,
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -28,5 +28,5 @@
 pub mod server;
 pub mod service_list;
 pub mod settings;
-pub mod stop;
+pub mod signals;
 pub mod table;
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/signals.rs
@@ -6,11 +6,11 @@
 ///
 /// # Errors
 /// Returns an error if the signals cannot be caught.
-pub async fn wait() -> anyhow::Result<()> {
-    let mut term = unix::signal(unix::SignalKind::terminate())?;
+pub async fn wait_for_stop() -> anyhow::Result<()> {
+    let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     tokio::select! {
-        _ = term.recv() => {}
+        _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
     Ok(())
