--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode, body};
 use serde_json::json;
 
-use rhubarb_node::{clock, control, response};
+use rhubarb_node::{clock, response, shared_settings};
 
 use crate::agent;
 
@@ -25,7 +25,7 @@
 }
 
 fn drain(agent: &agent::Agent, headers: &hyper::HeaderMap) -> Response<response::Body> {
-    if !control::is_operator(&agent.settings.keys, headers) {
+    if !shared_settings::is_operator(&agent.settings.keys, headers) {
         return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
     agent.lock().gate.leave();
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -3,7 +3,7 @@
 use std::{net, time};
 
 use rhubarb_core::ids;
-use rhubarb_node::{control, logs, settings};
+use rhubarb_node::{logs, settings, shared_settings};
 use rhubarb_wire::auth;
 
 /// Settings of one agent.
@@ -34,7 +34,7 @@
     /// Shared keys.
     pub keys: auth::Keys,
     /// Platform.
-    pub platform: control::Platform,
+    pub platform: shared_settings::PlatformUrls,
     /// Logs.
     pub log: logs::Options,
 }
@@ -76,10 +76,10 @@
     let max_answers = section.parsed("max_answers", MAX_ANSWERS, whole);
     let drain = section.duration("drain", DRAIN);
     let notice = section.duration("notice", NOTICE);
-    let keys = control::read_keys(&mut section);
+    let keys = shared_settings::read_keys(&mut section);
     file.close(section);
-    let platform = control::Platform::read(&mut file);
-    let log = control::read_log(&mut file);
+    let platform = shared_settings::PlatformUrls::read(&mut file);
+    let log = shared_settings::read_log(&mut file);
     file.finish()?;
     let keys = keys.expect("a missing key is a mistake");
     Ok(Settings {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the operator command.
 
-use rhubarb_node::{control, settings};
+use rhubarb_node::{settings, shared_settings};
 
 /// Settings of the operator command.
 #[derive(Clone, Debug)]
@@ -8,7 +8,7 @@
     /// Shared key with which instances are asked to drain.
     pub shared_key: String,
     /// Platform.
-    pub platform: control::Platform,
+    pub platform: shared_settings::PlatformUrls,
 }
 
 /// Reads the settings file at `path`.
@@ -18,10 +18,10 @@
 pub fn load(path: &str) -> Result<Settings, settings::SettingsError> {
     let mut file = settings::Settings::load(path)?;
     let mut section = file.section("ctl");
-    control::read_keys(&mut section);
+    shared_settings::read_keys(&mut section);
     let shared_key = section.words("shared_keys").into_iter().next().unwrap_or_default();
     file.close(section);
-    let platform = control::Platform::read(&mut file);
+    let platform = shared_settings::PlatformUrls::read(&mut file);
     file.finish()?;
     Ok(Settings { shared_key, platform })
 }
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode, body, http};
 
 use rhubarb_core::{list, outcome};
-use rhubarb_node::{clock, control, responder, response};
+use rhubarb_node::{clock, responder, response, shared_settings};
 
 use crate::{admit, completion, entry, openai, plain, refuse, tag, teller};
 
@@ -186,7 +186,7 @@
 }
 
 fn drain(entry: &Shared, head: &http::request::Parts) -> Reply {
-    if !control::is_operator(&entry.settings.keys, &head.headers) {
+    if !shared_settings::is_operator(&entry.settings.keys, &head.headers) {
         return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
     entry.stop();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -15,7 +15,6 @@
 pub mod client;
 pub mod clock;
 pub mod command;
-pub mod control;
 pub mod hop;
 pub mod instances;
 pub mod locks;
@@ -28,5 +27,6 @@
 pub mod server;
 pub mod service_list;
 pub mod settings;
+pub mod shared_settings;
 pub mod signals;
 pub mod table;
--- a/crates/node/src/control.rs
+++ b/crates/node/src/shared_settings.rs
@@ -9,7 +9,7 @@
 
 /// URLs of the platform's services.
 #[derive(Clone, Debug, Default)]
-pub struct Platform {
+pub struct PlatformUrls {
     /// Table service.
     pub table: String,
     /// Object store.
@@ -18,11 +18,11 @@
     pub instances: String,
 }
 
-impl Platform {
+impl PlatformUrls {
     /// Reads the section `[platform]`.
-    pub fn read(file: &mut settings::Settings) -> Platform {
+    pub fn read(file: &mut settings::Settings) -> PlatformUrls {
         let mut section = file.section("platform");
-        let platform = Platform {
+        let platform = PlatformUrls {
             table: settings::url(&mut section, "table"),
             objects: settings::url(&mut section, "objects"),
             instances: settings::url(&mut section, "instances"),
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,11 +1,11 @@
 //! Settings files: each mistake is named with file, line and remedy.
 
-use rhubarb_node::{control, logs, settings};
+use rhubarb_node::{logs, settings, shared_settings};
 
 fn read(text: &str) -> Result<(), settings::SettingsError> {
     let mut file = settings::Settings::parse("x.ini", text)?;
-    control::Platform::read(&mut file);
-    let log = control::read_log(&mut file);
+    shared_settings::PlatformUrls::read(&mut file);
+    let log = shared_settings::read_log(&mut file);
     assert!(matches!(log.format, logs::Format::Text | logs::Format::Json));
     file.finish()
 }
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::Parser;
 
 use rhubarb_core::usage;
-use rhubarb_node::{client, clock, control, objects, settings};
+use rhubarb_node::{client, clock, objects, settings, shared_settings};
 use rhubarb_platform::store;
 use rhubarb_report::{dates, merge, render};
 
@@ -98,7 +98,7 @@
 
 async fn read_objects(path: &str) -> anyhow::Result<Vec<Stored>> {
     let mut file = settings::Settings::load(path)?;
-    let platform = control::Platform::read(&mut file);
+    let platform = shared_settings::PlatformUrls::read(&mut file);
     // The file is that of rhubarb-ctl, whose own section is of no use here.
     drop(file.section("ctl"));
     file.finish()?;
