--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -13,7 +13,7 @@
 /// # Errors
 /// Returns an error if an address cannot be bound or signals cannot be caught.
 pub async fn run(settings: settings::Settings) -> anyhow::Result<()> {
-    let (listener, udp) = server::bind_both(settings.listen).await?;
+    let (listener, udp) = server::bind_tcp_and_udp(settings.listen).await?;
     let web = server::bind(settings.http).await?;
     println!("listening http={} peer={}", web.local_addr()?, listener.local_addr()?);
     let agent = sync::Arc::new(agent::Agent::new(settings));
--- a/crates/e2e/src/relay.rs
+++ b/crates/e2e/src/relay.rs
@@ -50,7 +50,8 @@
     /// # Errors
     /// Returns an error if no port is free.
     pub async fn start(target: net::SocketAddr) -> anyhow::Result<Relay> {
-        let (listener, udp) = server::bind_both((net::Ipv4Addr::LOCALHOST, 0).into()).await?;
+        let (listener, udp) =
+            server::bind_tcp_and_udp((net::Ipv4Addr::LOCALHOST, 0).into()).await?;
         let address = listener.local_addr()?;
         let (modes, _) = watch::channel(Modes::default());
         let modes = sync::Arc::new(modes);
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -42,7 +42,8 @@
     tokio::spawn(watch::sweep(edge.clone()));
     tokio::spawn(duty::run(edge.clone()));
     tokio::spawn(reload::run(edge.clone(), signals::hangups()?));
-    let (snapshots, shares) = server::bind_both(peers::address(&edge, edge.settings().ip)).await?;
+    let (snapshots, shares) =
+        server::bind_tcp_and_udp(peers::address(&edge, edge.settings().ip)).await?;
     let shares = sync::Arc::new(shares);
     let writing = tokio::spawn(ledger::run(edge.clone()));
     tokio::spawn(peers::tell(edge.clone(), shares.clone()));
@@ -52,14 +53,15 @@
     tokio::spawn(peers::discover(edge.clone()));
     let limits = server::Limits {
         connections: CONNECTIONS,
-        header_time: IDLE_TIME,
+        header_timeout: IDLE_TIME,
         header_bytes: HEADER_BYTES,
     };
     let shared = edge.clone();
     let (close, closing) = lock::watch::channel(false);
-    let serving = tokio::spawn(server::serve_until(callers, limits, closing, move |request| {
-        ingress::handle(shared.clone(), request)
-    }));
+    let serving =
+        tokio::spawn(server::serve_with_shutdown(callers, limits, closing, move |request| {
+            ingress::handle(shared.clone(), request)
+        }));
     for listener in [ready, scrapes] {
         let (shared, dropped) = (edge.clone(), dropped.clone());
         tokio::spawn(server::serve(listener, server::Limits::default(), move |request| {
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, Response, body, server::conn::http1, service};
 use hyper_util::rt;
-use tokio::{net as tcp, sync as lock};
+use tokio::{net as tokio_net, sync as tokio_sync};
 
 use crate::response;
 
@@ -14,7 +14,7 @@
     /// Most connections at once.
     pub connections: usize,
     /// Longest time to read the headers of a request.
-    pub header_time: time::Duration,
+    pub header_timeout: time::Duration,
     /// Most bytes of headers.
     pub header_bytes: usize,
 }
@@ -23,21 +23,21 @@
     fn default() -> Limits {
         Limits {
             connections: 4096,
-            header_time: time::Duration::from_secs(10),
+            header_timeout: time::Duration::from_secs(10),
             header_bytes: 32 * 1024,
         }
     }
 }
 
-const BIND_TRIES: u32 = 20;
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
+const BIND_ATTEMPTS: u32 = 20;
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
 /// Binds `address`.
 ///
 /// # Errors
 /// Returns an error that names the address.
-pub async fn bind(address: net::SocketAddr) -> anyhow::Result<tcp::TcpListener> {
-    tcp::TcpListener::bind(address).await.map_err(|err| {
+pub async fn bind(address: net::SocketAddr) -> anyhow::Result<tokio_net::TcpListener> {
+    tokio_net::TcpListener::bind(address).await.map_err(|err| {
         anyhow::anyhow!("cannot listen on {address}: {err}; choose a free address in the settings")
     })
 }
@@ -48,12 +48,12 @@
 ///
 /// # Errors
 /// Returns an error that names the address.
-pub async fn bind_both(
+pub async fn bind_tcp_and_udp(
     address: net::SocketAddr,
-) -> anyhow::Result<(tcp::TcpListener, tcp::UdpSocket)> {
-    for _ in 0..BIND_TRIES {
+) -> anyhow::Result<(tokio_net::TcpListener, tokio_net::UdpSocket)> {
+    for _ in 0..BIND_ATTEMPTS {
         let listener = bind(address).await?;
-        match tcp::UdpSocket::bind(listener.local_addr()?).await {
+        match tokio_net::UdpSocket::bind(listener.local_addr()?).await {
             Ok(udp) => return Ok((listener, udp)),
             Err(_) if address.port() == 0 => {}
             Err(err) => anyhow::bail!("cannot listen on UDP {address}: {err}; choose a free port"),
@@ -63,41 +63,41 @@
 }
 
 /// Serves HTTP/1.1 on `listener` until the task is dropped.
-pub async fn serve<H, F>(listener: tcp::TcpListener, limits: Limits, handler: H)
+pub async fn serve<H, F>(listener: tokio_net::TcpListener, limits: Limits, handler: H)
 where
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
     F: future::Future<Output = Response<response::Body>> + Send + 'static,
 {
-    let (_open, never) = lock::watch::channel(false);
-    serve_until(listener, limits, never, handler).await;
+    let (_sender, shutdown) = tokio_sync::watch::channel(false);
+    serve_with_shutdown(listener, limits, shutdown, handler).await;
 }
 
-/// Serves like [`serve`]; once `closing` is true, connections end with the request in flight and
+/// Serves like [`serve`]; once `shutdown` is true, connections end with the request in flight and
 /// idle ones at once.
-pub async fn serve_until<H, F>(
-    listener: tcp::TcpListener,
+pub async fn serve_with_shutdown<H, F>(
+    listener: tokio_net::TcpListener,
     limits: Limits,
-    closing: lock::watch::Receiver<bool>,
+    shutdown: tokio_sync::watch::Receiver<bool>,
     handler: H,
 ) where
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
     F: future::Future<Output = Response<response::Body>> + Send + 'static,
 {
-    let slots = sync::Arc::new(lock::Semaphore::new(limits.connections));
+    let slots = sync::Arc::new(tokio_sync::Semaphore::new(limits.connections));
     loop {
         let slot = slots.clone().acquire_owned().await;
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
                 tracing::warn!("http: accept failed: {err}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let (handler, closing) = (handler.clone(), closing.clone());
+        let (handler, shutdown) = (handler.clone(), shutdown.clone());
         tokio::spawn(async move {
             let _slot = slot;
-            if let Err(err) = serve_connection(stream, limits, closing, handler).await {
+            if let Err(err) = serve_connection(stream, limits, shutdown, handler).await {
                 tracing::debug!("http: connection ended: {err}");
             }
         });
@@ -105,9 +105,9 @@
 }
 
 async fn serve_connection<H, F>(
-    stream: tcp::TcpStream,
+    stream: tokio_net::TcpStream,
     limits: Limits,
-    mut closing: lock::watch::Receiver<bool>,
+    mut shutdown: tokio_sync::watch::Receiver<bool>,
     handler: H,
 ) -> Result<(), hyper::Error>
 where
@@ -121,17 +121,17 @@
     });
     let connection = http1::Builder::new()
         .timer(rt::TokioTimer::new())
-        .header_read_timeout(limits.header_time)
+        .header_read_timeout(limits.header_timeout)
         .max_buf_size(limits.header_bytes)
         .serve_connection(rt::TokioIo::new(stream), service);
     let mut connection = pin::pin!(connection);
     tokio::select! {
         ended = &mut connection => return ended,
-        _ = closing.wait_for(|closing| *closing) => connection.as_mut().graceful_shutdown(),
+        _ = shutdown.wait_for(|shutdown| *shutdown) => connection.as_mut().graceful_shutdown(),
     }
     connection.await
 }
 
-fn set_nodelay(stream: &tcp::TcpStream) -> io::Result<()> {
+fn set_nodelay(stream: &tokio_net::TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)
 }
--- a/crates/node/tests/ports.rs
+++ b/crates/node/tests/ports.rs
@@ -13,7 +13,7 @@
     let local = (net::Ipv4Addr::LOCALHOST, 0);
     let held: Vec<_> = (0..HELD).map(|_| net::UdpSocket::bind(local).unwrap()).collect();
     for _ in 0..BINDS {
-        let (tcp, udp) = server::bind_both(local.into()).await.unwrap();
+        let (tcp, udp) = server::bind_tcp_and_udp(local.into()).await.unwrap();
         assert_eq!(tcp.local_addr().unwrap(), udp.local_addr().unwrap());
     }
     drop(held);
@@ -22,6 +22,6 @@
 #[tokio::test]
 async fn taken_port() {
     let held = net::UdpSocket::bind((net::Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let err = server::bind_both(held.local_addr().unwrap()).await.unwrap_err();
+    let err = server::bind_tcp_and_udp(held.local_addr().unwrap()).await.unwrap_err();
     assert!(err.to_string().contains("choose a free"), "{err}");
 }
