--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -80,7 +80,7 @@
     fn new() -> Counters {
         let registry = metrics::Metrics::new("rhubarb_agent");
         Counters {
-            refused: registry.reasons("refused", "Runs refused or failed, by reason"),
+            refused: registry.reason_counter("refused", "Runs refused or failed, by reason"),
             runs: registry.counter("runs", "Runs handed to the backend server"),
             cancelled: registry.counter("cancelled", "Runs cancelled by their entry"),
             orphans: registry.counter("orphans", "Runs cancelled because their entry was lost"),
@@ -158,7 +158,7 @@
 
     /// Counts a refusal.
     pub(crate) fn count(&self, refusal: outcome::Refusal) {
-        self.metrics.refused.get_or_create(&metrics::labels(refusal.reason)).inc();
+        self.metrics.refused.get_or_create(&metrics::reason_labels(refusal.reason)).inc();
     }
 }
 
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -63,7 +63,12 @@
     ) -> bool {
         let taken = self.edge.directory().take_repeats(&self.service, sends, clock::now());
         if taken {
-            self.edge.counters.requests.retried.get_or_create(&metrics::labels(reason)).inc();
+            self.edge
+                .counters
+                .requests
+                .retried
+                .get_or_create(&metrics::reason_labels(reason))
+                .inc();
             self.account().add(|totals| totals.retry(reason));
         }
         tracing::info!(
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub(crate) struct Counters {
     pub(crate) registry: metrics::Metrics,
-    pub(crate) requests: metrics::Requests,
+    pub(crate) requests: metrics::RequestMetrics,
     pub(crate) version: gauge::Gauge,
     pub(crate) peers: gauge::Gauge,
     pub(crate) shares: counter::Counter,
@@ -31,8 +31,10 @@
             engine_full: registry
                 .counter("engine_full", "Times that an engine had no memory to set aside"),
             dropped_lines: registry.gauge("log_lines_dropped", "Log lines not written in time"),
-            plain_time: registry.seconds("plain_seconds", "Time to the answer of a plain call"),
-            first_event: registry.seconds("first_event_seconds", "Time to a stream's first event"),
+            plain_time: registry
+                .seconds_histogram("plain_seconds", "Time to the answer of a plain call"),
+            first_event: registry
+                .seconds_histogram("first_event_seconds", "Time to a stream's first event"),
             registry,
         }
     }
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -49,7 +49,7 @@
         if self.is_taken {
             return;
         }
-        let reason = metrics::labels(Reason::Withdrawn);
+        let reason = metrics::reason_labels(Reason::Withdrawn);
         self.edge.counters.requests.wasted.get_or_create(&reason).inc_by(u64::from(self.tokens));
         self.account.add(|totals| totals.waste(Reason::Withdrawn, u64::from(self.tokens)));
         let (edge, address) = (self.edge.clone(), self.target.address);
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -16,7 +16,7 @@
     attempt: Option<&header::HeaderValue>,
     refusal: Refusal,
 ) -> Response<response::Body> {
-    edge.counters.requests.refused.get_or_create(&metrics::labels(refusal.reason)).inc();
+    edge.counters.requests.refused.get_or_create(&metrics::reason_labels(refusal.reason)).inc();
     let id = attempt.and_then(|id| id.to_str().ok()).unwrap_or("-");
     let reason = refusal.reason.name();
     tracing::info!(id, reason, outcome = refusal.outcome.name(), "edge: refused");
@@ -32,7 +32,12 @@
 /// Counts and logs that a request is given up.
 pub(crate) fn note(call: &call::Call, refusal: Refusal) {
     call.account().add(|totals| totals.count(refusal.outcome, Some(refusal.reason)));
-    call.edge.counters.requests.refused.get_or_create(&metrics::labels(refusal.reason)).inc();
+    call.edge
+        .counters
+        .requests
+        .refused
+        .get_or_create(&metrics::reason_labels(refusal.reason))
+        .inc();
     let retry_ms = refusal.retry.map(|retry| retry.as_millis() as u64);
     tracing::info!(
         id = call.id(),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(crate) struct Counters {
     pub(crate) registry: metrics::Metrics,
-    pub(crate) requests: metrics::Requests,
+    pub(crate) requests: metrics::RequestMetrics,
     pub(crate) open: gauge::Gauge,
     pub(crate) version: gauge::Gauge,
     pub(crate) pending: gauge::Gauge,
@@ -86,14 +86,14 @@
 
     /// Counts a refusal.
     pub(crate) fn count_refusal(&self, reason: outcome::Reason) {
-        self.metrics.requests.refused.get_or_create(&metrics::labels(reason)).inc();
+        self.metrics.requests.refused.get_or_create(&metrics::reason_labels(reason)).inc();
     }
 
     /// Takes a retry from the budget of a service, and counts it.
     pub(crate) fn take_retry(&self, service: &str, caller: &str, reason: outcome::Reason) -> bool {
         let taken = self.directory.view().budget(service).take(reason);
         if taken {
-            self.metrics.requests.retried.get_or_create(&metrics::labels(reason)).inc();
+            self.metrics.requests.retried.get_or_create(&metrics::reason_labels(reason)).inc();
             self.ledger().totals(service, caller).retry(reason);
         }
         taken
@@ -107,7 +107,7 @@
         reason: outcome::Reason,
         tokens: u64,
     ) {
-        self.metrics.requests.wasted.get_or_create(&metrics::labels(reason)).inc_by(tokens);
+        self.metrics.requests.wasted.get_or_create(&metrics::reason_labels(reason)).inc_by(tokens);
         self.ledger().totals(service, caller).waste(reason, tokens);
     }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -186,7 +186,7 @@
 }
 
 fn is_end_to_end(name: &str, headers: &HeaderMap) -> bool {
-    !hop::is_hop(name, headers) && !OWN_HEADERS.contains(&name)
+    !hop::is_hop_by_hop(name, headers) && !OWN_HEADERS.contains(&name)
 }
 
 // What may have run is repeated only if repeating it has no effect.
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -63,7 +63,7 @@
 }
 
 /// Lines that wait to be written; more are dropped and counted.
-const MAX_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Writes the lines that wait when it is dropped.
 #[derive(Debug)]
@@ -73,9 +73,9 @@
 
 /// Counts lines that were dropped since they could not be written in time.
 #[derive(Clone, Debug)]
-pub struct Dropped(non_blocking::ErrorCounter);
+pub struct DroppedLines(non_blocking::ErrorCounter);
 
-impl Dropped {
+impl DroppedLines {
     /// Lines dropped so far.
     pub fn count(&self) -> usize {
         self.0.dropped_lines()
@@ -84,16 +84,16 @@
 
 /// Starts logging as JSON on standard output; a reader that is slow or gone never blocks the
 /// process.
-pub fn start_stdout(level: Level) -> (Guard, Dropped) {
+pub fn start_stdout(level: Level) -> (Guard, DroppedLines) {
     let builder = non_blocking::NonBlockingBuilder::default();
-    let builder = builder.lossy(true).buffered_lines_limit(MAX_LINES);
+    let builder = builder.lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, worker) = builder.finish(io::stdout());
-    let dropped = Dropped(writer.error_counter());
-    tracing_subscriber::fmt().with_max_level(filter(level)).with_writer(writer).json().init();
+    let dropped = DroppedLines(writer.error_counter());
+    tracing_subscriber::fmt().with_max_level(level_filter(level)).with_writer(writer).json().init();
     (Guard { _worker: worker }, dropped)
 }
 
-fn filter(level: Level) -> filter::LevelFilter {
+fn level_filter(level: Level) -> filter::LevelFilter {
     match level {
         Level::Error => filter::LevelFilter::ERROR,
         Level::Warn => filter::LevelFilter::WARN,
@@ -104,7 +104,7 @@
 
 /// Starts logging; called once by each process.
 pub fn start(options: Options) {
-    let level = filter(options.level);
+    let level = level_filter(options.level);
     let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(io::stderr);
     match options.format {
         Format::Text => builder.with_ansi(false).init(),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -26,7 +26,7 @@
 
 /// What every entry counts of requests.
 #[derive(Debug)]
-pub struct Requests {
+pub struct RequestMetrics {
     /// Requests received.
     pub received: counter::Counter,
     /// Requests answered whole by a server.
@@ -40,7 +40,7 @@
 }
 
 /// Upper bounds of the buckets of latency histograms, in seconds.
-const SECONDS_BOUNDS: [f64; 10] = [0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 0.9, 2.0, 5.0, 15.0];
+const SECONDS_BUCKETS: [f64; 10] = [0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 0.9, 2.0, 5.0, 15.0];
 
 /// Registry of one process.
 #[derive(Debug)]
@@ -56,21 +56,22 @@
     }
 
     /// Registers what every entry counts of requests.
-    pub fn requests(&self) -> Requests {
-        Requests {
+    pub fn requests(&self) -> RequestMetrics {
+        RequestMetrics {
             received: self.counter("requests", "Requests received"),
             answered: self.counter("answered", "Requests answered whole by a server"),
-            refused: self.reasons("refused", "Requests refused or failed, by reason"),
-            retried: self.reasons("retried", "Attempts repeated, by reason"),
-            wasted: self.reasons("wasted_tokens", "Prompt tokens prefilled in vain, by reason"),
+            refused: self.reason_counter("refused", "Requests refused or failed, by reason"),
+            retried: self.reason_counter("retried", "Attempts repeated, by reason"),
+            wasted: self
+                .reason_counter("wasted_tokens", "Prompt tokens prefilled in vain, by reason"),
         }
     }
 
     /// Registers a counter by reason; every reason is shown from the start.
-    pub fn reasons(&self, name: &str, help: &str) -> ReasonFamily {
+    pub fn reason_counter(&self, name: &str, help: &str) -> ReasonFamily {
         let family = ReasonFamily::default();
         for reason in outcome::REASONS {
-            let _ = family.get_or_create(&labels(reason));
+            let _ = family.get_or_create(&reason_labels(reason));
         }
         self.lock().register(name, help, family.clone());
         family
@@ -91,8 +92,8 @@
     }
 
     /// Registers a histogram of times in seconds.
-    pub fn seconds(&self, name: &str, help: &str) -> histogram::Histogram {
-        let histogram = histogram::Histogram::new(SECONDS_BOUNDS);
+    pub fn seconds_histogram(&self, name: &str, help: &str) -> histogram::Histogram {
+        let histogram = histogram::Histogram::new(SECONDS_BUCKETS);
         self.lock().register(name, help, histogram.clone());
         histogram
     }
@@ -112,6 +113,6 @@
 }
 
 /// Labels for `reason`.
-pub fn labels(reason: outcome::Reason) -> ReasonLabels {
+pub fn reason_labels(reason: outcome::Reason) -> ReasonLabels {
     ReasonLabels { reason: reason.name().to_string() }
 }
