--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,4 +1,4 @@
-//! Bodies and simple HTTP answers.
+//! Response bodies and simple HTTP responses.
 
 use std::{convert, io, pin, task};
 
@@ -7,17 +7,16 @@
 use hyper::{Response, StatusCode, body, header};
 use tokio::sync::mpsc;
 
-/// Body of an answer.
+/// Response body.
 pub type Body = combinators::BoxBody<Bytes, io::Error>;
 
-/// Makes a body of known content.
+/// Returns a body with the given content.
 pub fn full(content: impl Into<Bytes>) -> Body {
-    let never = |never: convert::Infallible| match never {};
-    Full::new(content.into()).map_err(never).boxed()
+    Full::new(content.into()).map_err(|never: convert::Infallible| match never {}).boxed()
 }
 
-/// Makes a body of the pieces that come from `receiver`; it ends when all senders are dropped,
-/// and breaks the connection off at an error.
+/// Returns a body that streams the chunks from `receiver`; it ends when all senders are dropped,
+/// and an error aborts the connection.
 pub fn stream(receiver: mpsc::Receiver<io::Result<Bytes>>) -> Body {
     ChannelBody { receiver }.boxed()
 }
@@ -34,28 +33,34 @@
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
     ) -> task::Poll<Option<io::Result<body::Frame<Bytes>>>> {
-        self.receiver.poll_recv(cx).map(|piece| piece.map(|piece| piece.map(body::Frame::data)))
+        self.receiver.poll_recv(cx).map(|chunk| chunk.map(|chunk| chunk.map(body::Frame::data)))
     }
 }
 
-/// Answer in plain text.
+/// Returns a plain-text response.
 pub fn text(status: StatusCode, content: impl Into<Bytes>) -> Response<Body> {
     with_type(status, "text/plain; charset=utf-8", content)
 }
 
-/// Answer in JSON.
+/// Returns a JSON response.
 pub fn json(status: StatusCode, content: &serde_json::Value) -> Response<Body> {
     with_type(status, "application/json", content.to_string())
 }
 
-fn with_type(status: StatusCode, kind: &'static str, content: impl Into<Bytes>) -> Response<Body> {
-    let mut answer = Response::new(full(content));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
-    answer
+fn with_type(
+    status: StatusCode,
+    content_type: &'static str,
+    content: impl Into<Bytes>,
+) -> Response<Body> {
+    let mut response = Response::new(full(content));
+    *response.status_mut() = status;
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, header::HeaderValue::from_static(content_type));
+    response
 }
 
-/// Reads a whole body of at most `limit` bytes; `None` if it is longer or broken off.
+/// Reads a whole body; `None` if it exceeds `limit` bytes or ends early.
 pub async fn read_body<B>(body: B, limit: usize) -> Option<Bytes>
 where
     B: body::Body<Data = Bytes>,
