--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -9,14 +9,14 @@
 
 use crate::response;
 
-/// Why a call has no answer.
+/// Why a request has no complete response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection could be made, so the call did not reach the server.
+    /// The connection failed, so the request did not reach the server.
     Unreachable(String),
-    /// The call was sent and its answer is missing or broken off.
+    /// The request was sent, and the response is missing or incomplete.
     Interrupted(String),
-    /// The call was sent and no answer came in time.
+    /// The request was sent, and the response did not complete within the timeout.
     TimedOut(time::Duration),
 }
 
@@ -24,11 +24,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::Unreachable(err) => {
-                write!(f, "cannot connect: {err}; check that the server runs at this address")
+                write!(f, "cannot connect: {err}; check that the server is running at this address")
+            }
+            CallError::Interrupted(err) => {
+                write!(f, "connection lost before the response was complete: {err}; try again")
             }
-            CallError::Interrupted(err) => write!(f, "the answer broke off: {err}; try again"),
             CallError::TimedOut(timeout) => {
-                write!(f, "no answer within {timeout:?}; check whether the server is overloaded")
+                write!(f, "no response within {timeout:?}; check whether the server is overloaded")
             }
         }
     }
@@ -36,13 +38,13 @@
 
 impl std::error::Error for CallError {}
 
-/// HTTP client that keeps connections open.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// Response with its whole body.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     /// Status.
@@ -63,21 +65,21 @@
 }
 
 impl Client {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new() -> Client {
         let mut connector = legacy::connect::HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // By default a call goes out again only if its pooled connection closed before any of it
-        // was written, so it still runs at most once.
+        // By default the client resends a request only if its pooled connection closed before any
+        // byte was written, so a request runs at most once.
         let builder = legacy::Client::builder(rt::TokioExecutor::new());
         Client { inner: builder.build(connector) }
     }
 
-    /// Sends `request` and returns the answer's head, within `limit`.
+    /// Sends `request` and returns the response once its head has arrived, within `timeout`.
     ///
     /// # Errors
-    /// Returns whether the call can have reached the server.
+    /// Returns an error that says whether the request can have reached the server.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -87,22 +89,22 @@
             Err(_) => Err(CallError::TimedOut(timeout)),
             Ok(Err(err)) if err.is_connect() => Err(CallError::Unreachable(describe(&err))),
             Ok(Err(err)) => Err(CallError::Interrupted(describe(&err))),
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
         }
     }
 
-    /// Sends `request` and reads the whole answer, within `limit`.
+    /// Sends `request` and reads the whole response, within `timeout`.
     ///
     /// # Errors
-    /// Returns whether the call can have reached the server.
+    /// Returns an error that says whether the request can have reached the server.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
         timeout: time::Duration,
     ) -> Result<FullResponse, CallError> {
         let whole = async {
-            let answer = self.send(request, timeout).await?;
-            let (head, body) = answer.into_parts();
+            let response = self.send(request, timeout).await?;
+            let (head, body) = response.into_parts();
             let body = response::read_body(body, MAX_RESPONSE_BYTES).await;
             let body =
                 body.ok_or_else(|| CallError::Interrupted("body ended early".to_string()))?;
@@ -111,7 +113,7 @@
         tokio::time::timeout(timeout, whole).await.unwrap_or(Err(CallError::TimedOut(timeout)))
     }
 
-    /// Gets `url`.
+    /// Sends a `GET` request to `url`.
     ///
     /// # Errors
     /// Returns an error as [`Client::fetch`] does.
@@ -119,7 +121,7 @@
         self.fetch(request(Method::GET, url, Bytes::new())?, timeout).await
     }
 
-    /// Posts JSON to `url`.
+    /// Sends a `POST` request with a JSON body to `url`.
     ///
     /// # Errors
     /// Returns an error as [`Client::fetch`] does.
@@ -133,7 +135,7 @@
     }
 }
 
-/// Makes a request.
+/// Builds a request.
 ///
 /// # Errors
 /// Returns an error for a malformed URL.
@@ -146,7 +148,7 @@
     built.map_err(|err| CallError::Unreachable(err.to_string()))
 }
 
-/// Makes a `POST` of JSON.
+/// Builds a `POST` request with a JSON body.
 ///
 /// # Errors
 /// Returns an error for a malformed URL.
@@ -155,8 +157,8 @@
     content: &serde_json::Value,
 ) -> Result<Request<Full<Bytes>>, CallError> {
     let mut request = request(Method::POST, url, content.to_string().into())?;
-    let kind = header::HeaderValue::from_static("application/json");
-    request.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = header::HeaderValue::from_static("application/json");
+    request.headers_mut().insert(header::CONTENT_TYPE, content_type);
     Ok(request)
 }
 
