--- a/crates/node/src/responder.rs
+++ b/crates/node/src/responder.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a request, and waiting while the caller is there.
+//! Sends the response to a caller, and waits for events while the caller stays connected.
 
 use std::{io, time};
 
@@ -8,10 +8,10 @@
 
 use crate::response;
 
-/// Pieces that may wait for a caller that reads slowly.
+/// Chunks buffered for a caller that reads slowly.
 const MAX_CHUNKS: usize = 16;
 
-/// The caller's side of a request.
+/// Sends the response to one request.
 #[derive(Debug)]
 pub struct Responder {
     head: Option<oneshot::Sender<Response<response::Body>>>,
@@ -21,7 +21,7 @@
 /// Result of waiting for an event.
 #[derive(Debug)]
 pub enum WaitOutcome<T> {
-    /// The event.
+    /// The event occurred.
     Event(T),
     /// The caller closed its connection.
     Disconnected,
@@ -30,32 +30,33 @@
 }
 
 impl Responder {
-    /// Makes the two sides of a reply.
+    /// Creates a responder and the receiver of its response.
     pub fn new() -> (Responder, oneshot::Receiver<Response<response::Body>>) {
         let (head, receiver) = oneshot::channel();
         (Responder { head: Some(head), body: None }, receiver)
     }
 
-    /// Whether the answer has begun.
+    /// Whether the response has started.
     pub fn has_started(&self) -> bool {
         self.head.is_none()
     }
 
-    /// Gives the whole answer.
+    /// Sends a complete response; no effect once a response has started.
     pub fn respond(&mut self, response: Response<response::Body>) {
         if let Some(head) = self.head.take() {
             let _ = head.send(response);
         }
     }
 
-    /// Begins an answer whose body follows in pieces.
+    /// Starts a response whose body follows in chunks.
     pub fn start_stream(&mut self, response: Response<()>) {
         let (sender, receiver) = mpsc::channel(MAX_CHUNKS);
         self.body = Some(sender);
         self.respond(response.map(|()| response::stream(receiver)));
     }
 
-    /// Sends a piece; false if the caller is gone or does not read until `deadline`.
+    /// Sends a chunk; false if no stream is open, the caller disconnected, or the buffer stays full
+    /// until `deadline`.
     pub async fn send(&self, bytes: Bytes, deadline: time::Instant) -> bool {
         let Some(body) = &self.body else { return false };
         let sending = body.send(Ok(bytes));
@@ -63,14 +64,14 @@
         matches!(sent, Ok(Ok(())))
     }
 
-    /// Breaks the answer off, so that the caller cannot take it for whole.
-    pub async fn abort(&mut self, why: &str) {
+    /// Aborts a streamed response, so that the caller cannot mistake it for a complete one.
+    pub async fn abort(&mut self, reason: &str) {
         if let Some(body) = self.body.take() {
-            let _ = body.try_send(Err(io::Error::other(why.to_string())));
+            let _ = body.try_send(Err(io::Error::other(reason.to_string())));
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller disconnects.
     pub async fn closed(&mut self) {
         if let Some(head) = &mut self.head {
             head.closed().await;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Waits for `event`, while the caller is there and the deadline ahead.
+    /// Waits for `event` until the caller disconnects or the deadline passes.
     pub async fn wait<T>(
         &mut self,
         event: impl Future<Output = T>,
