--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -7,13 +7,14 @@
     tokio::time::Instant::now().into_std()
 }
 
-/// Milliseconds since 1970, for records that people read.
+/// Milliseconds since the Unix epoch, for records that people read.
 pub fn unix_ms() -> u64 {
-    let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// Half to one and a half times `period`, so that processes do not act in step.
+/// Returns a random duration between 0.5 and 1.5 times `period`, so that processes do not
+/// synchronize.
 pub fn jitter(period: time::Duration) -> time::Duration {
     period.mul_f64(0.5 + rand::random::<f64>())
 }
