--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,8 +1,8 @@
-//! Command line of the processes that run until they are stopped.
+//! Command line of the long-running processes.
 
 use bpaf::Parser;
 
-/// Options of a process.
+/// Command-line options of a process.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Path of the settings file.
@@ -11,7 +11,7 @@
     pub check: bool,
 }
 
-/// Reads the command line; prints help or a mistake and exits where that is asked for.
+/// Parses the command line; prints help, the version or a usage error and exits where that applies.
 pub fn read_options(description: &'static str) -> Options {
     let settings = bpaf::long("settings").help("Settings file").argument::<String>("FILE");
     let check = bpaf::long("check").help("Check the settings and exit").switch();
@@ -22,10 +22,10 @@
         .run()
 }
 
-/// Runs a process to its end, or only says that its settings have no mistakes.
+/// Runs a process until it ends; with `--check` only reports that the settings are valid.
 ///
 /// # Errors
-/// Returns why the process ended.
+/// Returns the error that ended the process.
 pub fn run(
     options: &Options,
     process: impl Future<Output = anyhow::Result<()>>,
