--- a/crates/node/src/shared_settings.rs
+++ b/crates/node/src/shared_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that all processes share: platform URLs, shared keys and logs.
+//! Settings that several processes share: platform URLs, shared keys and logs.
 
 use hyper::{HeaderMap, header};
 
@@ -7,7 +7,7 @@
 
 use crate::{logs, settings};
 
-/// URLs of the platform's services.
+/// Base URLs of the platform's services.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformUrls {
     /// Table service.
@@ -43,14 +43,14 @@
     options
 }
 
-/// Whether the headers carry a shared key, as operators' commands do.
+/// Whether the `Authorization` header carries a shared key, as operators' commands do.
 pub fn is_operator(keys: &auth::Keys, headers: &HeaderMap) -> bool {
     let value = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = value.and_then(|value| value.strip_prefix("Bearer "));
     key.is_some_and(|key| keys.holds(key))
 }
 
-/// Reads the field `shared_keys`; a mistake is noted where a key is missing or too short.
+/// Reads the field `shared_keys`; records a mistake if it is missing or a key is too short.
 pub fn read_keys(section: &mut section::Section) -> Option<auth::Keys> {
     let keys = auth::Keys::new(section.words("shared_keys"));
     if keys.is_none() {
