--- a/crates/node/src/service_list.rs
+++ b/crates/node/src/service_list.rs
@@ -1,7 +1,7 @@
-//! Rows of the service list in the table, and reading what is new in them.
+//! Rows of the service list in the table, and incremental reads of them.
 //!
-//! Three rows are written in one transaction: the whole list, a head with the same version that
-//! is cheap to poll, and what the version changed.
+//! Each revision writes three rows in one transaction: the whole list, a head row with the same
+//! version that is cheap to poll, and the change from the previous revision.
 
 use rhubarb_core::{editions, ids};
 use rhubarb_wire::message;
@@ -12,32 +12,32 @@
 
 /// Key of the row with the whole list.
 pub const LIST_KEY: &str = "list";
-/// Key of the row whose version is that of the list.
+/// Key of the head row, whose version equals that of the list.
 pub const HEAD_KEY: &str = "list-head";
 
-/// Key of the row with what `version` changed.
+/// Key of the row with the change that made `version`.
 pub fn change_key(version: ids::ListVersion) -> String {
     format!("list-change/{version}")
 }
 
-/// Text from the table that brings a process up to date.
+/// Update of the service list.
 #[derive(Clone, Debug)]
 pub enum ListUpdate {
-    /// Nothing is newer.
+    /// There is no newer revision.
     None,
-    /// The change that makes a version.
+    /// The change that makes the given version.
     Change(ids::ListVersion, String),
-    /// The whole row.
+    /// The whole list at the given version.
     Row(ids::ListVersion, String),
 }
 
-/// Most changes that are read one by one; beyond, the whole row is read.
+/// A process further behind than this reads the whole list instead of single changes.
 const MAX_REVISIONS_BEHIND: u64 = 64;
 
-/// Reads what follows `version`.
+/// Reads the next update after `version`.
 ///
 /// # Errors
-/// Returns an error while the table is away.
+/// Returns an error while the table is unavailable.
 pub async fn read_update(
     table: &table::Table,
     version: ids::ListVersion,
@@ -57,7 +57,9 @@
     Ok(row.map_or(ListUpdate::None, |row| ListUpdate::Row(row.version, row.value)))
 }
 
-/// Takes news into `editions`; a change that does not fit makes the whole row be read next.
+/// Applies an update to `editions`; `None` if it is empty or does not apply.
+///
+/// After a change that does not apply, the caller reads the whole list.
 pub fn apply_update(
     editions: &mut editions::Editions,
     update: &ListUpdate,
@@ -69,7 +71,7 @@
     }
 }
 
-/// Writes what a peer lacks as a message, with the last instance list in JSON.
+/// Converts an update to a message for a peer, with the last instance list in JSON.
 pub fn to_list_copy(update: editions::Update, instances: String) -> message::ListCopy {
     let (version, body) = match update {
         editions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
@@ -80,7 +82,7 @@
     message::ListCopy { version, body, instances }
 }
 
-/// Reads a message of a peer as news in order.
+/// Converts a message from a peer to updates, in version order.
 pub fn from_list_copy(copy: &message::ListCopy) -> Vec<ListUpdate> {
     match &copy.body {
         message::ListBody::Row(row) => vec![ListUpdate::Row(copy.version, row.clone())],
