--- a/crates/node/src/hop.rs
+++ b/crates/node/src/hop.rs
@@ -1,8 +1,8 @@
-//! Headers that belong to one connection.
+//! Hop-by-hop headers, which a proxy does not forward.
 
 use hyper::{HeaderMap, header};
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1).
+/// Headers that are always hop-by-hop (RFC 9110, section 7.6.1).
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,10 +15,11 @@
     "upgrade",
 ];
 
-/// Whether the header `name` belongs to the connection only, be it by itself or since the
-/// `Connection` header in `all` names it.
+/// Whether the header `name` is hop-by-hop, by definition or because the `Connection` header in
+/// `all` lists it.
 pub fn is_hop_by_hop(name: &str, all: &HeaderMap) -> bool {
-    let named = all.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let mut named = named.flat_map(|value| value.split(','));
-    HOP_BY_HOP_HEADERS.contains(&name) || named.any(|other| other.trim().eq_ignore_ascii_case(name))
+    let values = all.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    let mut listed = values.flat_map(|value| value.split(','));
+    HOP_BY_HOP_HEADERS.contains(&name)
+        || listed.any(|other| other.trim().eq_ignore_ascii_case(name))
 }
