--- a/crates/node/src/instances.rs
+++ b/crates/node/src/instances.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's lagging list of instances.
+//! Client of the platform's instance list, which lags behind the actual state.
 
 use std::{net, time};
 
@@ -31,18 +31,18 @@
     Leaving,
 }
 
-/// One instance.
+/// An instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name; that of the server for a backend server instance.
+    /// Name; for a backend server, the name of the server.
     pub name: String,
     /// Kind.
     pub kind: Kind,
     /// Availability zone.
     pub zone: ids::ZoneName,
-    /// Address of the agent for TCP and UDP, or of the entry for HTTP.
+    /// TCP and UDP address of the agent, or HTTP address of the entry.
     pub address: net::SocketAddr,
-    /// Address for metrics and health.
+    /// Address of the metrics and health endpoints.
     pub http: net::SocketAddr,
     /// State.
     pub state: State,
@@ -58,7 +58,7 @@
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 impl Instances {
-    /// Makes a client for the service at `url`.
+    /// Creates a client for the service at `url`.
     pub fn new(client: client::Client, url: &str) -> Instances {
         Instances { client, url: url.to_string() }
     }
@@ -66,12 +66,12 @@
     /// Reads the list.
     ///
     /// # Errors
-    /// Returns an error while the service is away.
+    /// Returns an error while the service is unavailable.
     pub async fn read(&self) -> Result<Vec<Instance>, PlatformError> {
-        let reply = self.client.get(&self.url, REQUEST_TIMEOUT).await?;
-        if reply.status != StatusCode::OK {
-            return Err(platform::unexpected_status(&reply));
+        let response = self.client.get(&self.url, REQUEST_TIMEOUT).await?;
+        if response.status != StatusCode::OK {
+            return Err(platform::unexpected_status(&response));
         }
-        platform::read_json(&reply)
+        platform::read_json(&response)
     }
 }
