--- a/crates/node/src/locks.rs
+++ b/crates/node/src/locks.rs
@@ -1,9 +1,9 @@
-//! Locks that stay usable after a holder panicked.
+//! Mutex locking that ignores poisoning.
 
 use std::sync;
 
-/// Locks `mutex`; what it guards is kept consistent by short critical sections, so a panic
-/// elsewhere does not spoil it.
+/// Locks `mutex`, even if a thread panicked while holding it: critical sections are short and leave
+/// the data consistent.
 pub fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
