--- a/crates/node/src/objects.rs
+++ b/crates/node/src/objects.rs
@@ -18,45 +18,49 @@
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 impl Objects {
-    /// Makes a client for the service at `url`.
+    /// Creates a client for the service at `url`.
     pub fn new(client: client::Client, url: &str) -> Objects {
         Objects { client, url: url.to_string() }
     }
 
-    /// Stores an object; storing the same object again changes nothing.
+    /// Stores an object; storing the same object again has no effect.
     ///
     /// # Errors
-    /// Returns an error while the service is away; the object may then be stored.
+    /// Returns an error while the service is unavailable; the object may still have been stored.
     pub async fn put(&self, name: &str, content: String) -> Result<(), PlatformError> {
         let url = format!("{}/{name}", self.url);
         let request = client::request(Method::PUT, &url, content.into())?;
-        let reply = self.client.fetch(request, REQUEST_TIMEOUT).await?;
-        if reply.status.is_success() { Ok(()) } else { Err(platform::unexpected_status(&reply)) }
+        let response = self.client.fetch(request, REQUEST_TIMEOUT).await?;
+        if response.status.is_success() {
+            Ok(())
+        } else {
+            Err(platform::unexpected_status(&response))
+        }
     }
 
-    /// Reads an object.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
-    /// Returns an error while the service is away.
+    /// Returns an error while the service is unavailable.
     pub async fn get(&self, name: &str) -> Result<Option<String>, PlatformError> {
-        let reply = self.client.get(&format!("{}/{name}", self.url), REQUEST_TIMEOUT).await?;
-        match reply.status {
-            StatusCode::OK => Ok(Some(String::from_utf8_lossy(&reply.body).into_owned())),
+        let response = self.client.get(&format!("{}/{name}", self.url), REQUEST_TIMEOUT).await?;
+        match response.status {
+            StatusCode::OK => Ok(Some(String::from_utf8_lossy(&response.body).into_owned())),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(platform::unexpected_status(&reply)),
+            _ => Err(platform::unexpected_status(&response)),
         }
     }
 
-    /// Names of all objects that start with `prefix`, in order.
+    /// Returns the names of all objects that start with `prefix`, in order.
     ///
     /// # Errors
-    /// Returns an error while the service is away.
+    /// Returns an error while the service is unavailable.
     pub async fn names(&self, prefix: &str) -> Result<Vec<String>, PlatformError> {
-        let reply =
+        let response =
             self.client.get(&format!("{}?prefix={prefix}", self.url), REQUEST_TIMEOUT).await?;
-        if reply.status != StatusCode::OK {
-            return Err(platform::unexpected_status(&reply));
+        if response.status != StatusCode::OK {
+            return Err(platform::unexpected_status(&response));
         }
-        platform::read_json(&reply)
+        platform::read_json(&response)
     }
 }
