--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -4,12 +4,12 @@
 
 use crate::client;
 
-/// Why the platform did not do as asked.
+/// Why a request to the platform failed.
 #[derive(Debug)]
 pub enum PlatformError {
-    /// The service did not answer, or answered that it is down.
+    /// The service did not respond, or responded that it is down or overloaded.
     Unavailable(String),
-    /// The service answered something that is not its protocol.
+    /// The response does not follow the protocol.
     Protocol(String),
 }
 
@@ -17,10 +17,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlatformError::Unavailable(what) => {
-                write!(f, "the platform is away: {what}; it is tried again")
+                write!(f, "the platform is unavailable: {what}; retrying")
             }
             PlatformError::Protocol(what) => {
-                write!(f, "unexpected answer of the platform: {what}; check the URL")
+                write!(f, "unexpected response from the platform: {what}; check the URL")
             }
         }
     }
@@ -34,20 +34,20 @@
     }
 }
 
-/// Error for an answer with an unexpected status.
-pub(crate) fn unexpected_status(reply: &client::FullResponse) -> PlatformError {
-    let what = format!("status {}", reply.status.as_u16());
-    let is_busy = reply.status == hyper::StatusCode::TOO_MANY_REQUESTS;
-    if reply.status.is_server_error() || is_busy {
+/// Returns the error for a response with an unexpected status.
+pub(crate) fn unexpected_status(response: &client::FullResponse) -> PlatformError {
+    let what = format!("status {}", response.status.as_u16());
+    let is_busy = response.status == hyper::StatusCode::TOO_MANY_REQUESTS;
+    if response.status.is_server_error() || is_busy {
         PlatformError::Unavailable(what)
     } else {
         PlatformError::Protocol(what)
     }
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn read_json<T: serde::de::DeserializeOwned>(
-    reply: &client::FullResponse,
+    response: &client::FullResponse,
 ) -> Result<T, PlatformError> {
-    serde_json::from_slice(&reply.body).map_err(|err| PlatformError::Protocol(err.to_string()))
+    serde_json::from_slice(&response.body).map_err(|err| PlatformError::Protocol(err.to_string()))
 }
