--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,36 +1,36 @@
-//! Structured logs: on standard error, or on standard output without ever blocking.
+//! Structured logs: on standard error, or non-blocking on standard output.
 
 use std::{io, str};
 
 use tracing_appender::non_blocking;
 use tracing_subscriber::filter;
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least severe level that is written.
+/// Least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
     /// Errors only.
     Error,
-    /// Warnings too.
+    /// Errors and warnings.
     Warn,
-    /// What operators usually want.
+    /// Also informational messages; the usual level in operation.
     Info,
-    /// Everything.
+    /// Also debug messages.
     Debug,
 }
 
-/// Settings of the logs.
+/// Log settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Form of a line.
+    /// Format of a line.
     pub format: Format,
     /// Least severe level.
     pub level: Level,
@@ -62,28 +62,27 @@
     }
 }
 
-/// Lines that wait to be written; more are dropped and counted.
+/// Lines buffered for writing; further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Writes the lines that wait when it is dropped.
+/// Flushes the buffered lines when dropped.
 #[derive(Debug)]
 pub struct Guard {
     _worker: non_blocking::WorkerGuard,
 }
 
-/// Counts lines that were dropped since they could not be written in time.
+/// Counter of the lines dropped because the buffer was full.
 #[derive(Clone, Debug)]
 pub struct DroppedLines(non_blocking::ErrorCounter);
 
 impl DroppedLines {
-    /// Lines dropped so far.
+    /// Number of lines dropped so far.
     pub fn count(&self) -> usize {
         self.0.dropped_lines()
     }
 }
 
-/// Starts logging as JSON on standard output; a reader that is slow or gone never blocks the
-/// process.
+/// Starts logging as JSON on standard output; a slow or closed reader never blocks the process.
 pub fn start_stdout(level: Level) -> (Guard, DroppedLines) {
     let builder = non_blocking::NonBlockingBuilder::default();
     let builder = builder.lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
@@ -102,7 +101,7 @@
     }
 }
 
-/// Starts logging; called once by each process.
+/// Starts logging on standard error; each process calls it once.
 pub fn start(options: Options) {
     let level = level_filter(options.level);
     let builder = tracing_subscriber::fmt().with_max_level(level).with_writer(io::stderr);
