--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics registry with the families that several processes share.
+//! Metrics registry and the metric families that several processes share.
 
 use std::sync;
 
@@ -11,51 +11,51 @@
 
 use crate::{locks, response};
 
-/// Port of the metrics of an entry on the users' platform, named in the deploy file.
+/// Metrics port of an entry on the users' platform; the deploy file names the same port.
 pub const PLATFORM_PORT: u16 = 9464;
 
-/// Labels of a counter by reason.
+/// Label set of a counter by reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabels {
     /// Name of the reason.
     pub reason: String,
 }
 
-/// Counter by reason.
+/// Counter with one series per reason.
 pub type ReasonFamily = family::Family<ReasonLabels, counter::Counter>;
 
-/// What every entry counts of requests.
+/// Request counters of an entry.
 #[derive(Debug)]
 pub struct RequestMetrics {
     /// Requests received.
     pub received: counter::Counter,
-    /// Requests answered whole by a server.
+    /// Requests that a server answered completely.
     pub answered: counter::Counter,
     /// Requests refused or failed.
     pub refused: ReasonFamily,
-    /// Attempts repeated.
+    /// Retried attempts.
     pub retried: ReasonFamily,
-    /// Prompt tokens prefilled in vain.
+    /// Prompt tokens of wasted prefills.
     pub wasted: ReasonFamily,
 }
 
 /// Upper bounds of the buckets of latency histograms, in seconds.
 const SECONDS_BUCKETS: [f64; 10] = [0.025, 0.05, 0.1, 0.15, 0.3, 0.5, 0.9, 2.0, 5.0, 15.0];
 
-/// Registry of one process.
+/// Metrics registry of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: sync::Mutex<registry::Registry>,
 }
 
 impl Metrics {
-    /// Makes a registry whose metrics start with `prefix`.
+    /// Creates a registry whose metric names start with `prefix`.
     pub fn new(prefix: &str) -> Metrics {
         let registry = registry::Registry::with_prefix(prefix.to_string());
         Metrics { registry: sync::Mutex::new(registry) }
     }
 
-    /// Registers what every entry counts of requests.
+    /// Registers the request counters of an entry.
     pub fn requests(&self) -> RequestMetrics {
         RequestMetrics {
             received: self.counter("requests", "Requests received"),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Registers a counter by reason; every reason is shown from the start.
+    /// Registers a counter by reason; every reason is exported from the start.
     pub fn reason_counter(&self, name: &str, help: &str) -> ReasonFamily {
         let family = ReasonFamily::default();
         for reason in outcome::REASONS {
@@ -91,14 +91,14 @@
         gauge
     }
 
-    /// Registers a histogram of times in seconds.
+    /// Registers a histogram of durations in seconds.
     pub fn seconds_histogram(&self, name: &str, help: &str) -> histogram::Histogram {
         let histogram = histogram::Histogram::new(SECONDS_BUCKETS);
         self.lock().register(name, help, histogram.clone());
         histogram
     }
 
-    /// Answer to `GET /metrics`.
+    /// Returns the response to `GET /metrics`.
     pub fn response(&self) -> Response<response::Body> {
         let mut content = String::new();
         match text::encode(&mut content, &self.lock()) {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Labels for `reason`.
+/// Returns the label set for `reason`.
 pub fn reason_labels(reason: outcome::Reason) -> ReasonLabels {
     ReasonLabels { reason: reason.name().to_string() }
 }
