--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server loop shared by all binaries.
+//! HTTP server shared by all binaries.
 
 use std::{convert, future, io, net, pin, sync, time};
 
@@ -8,14 +8,14 @@
 
 use crate::response;
 
-/// Limits of a server.
+/// Limits of an HTTP server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Longest time to read the headers of a request.
+    /// Timeout for reading the headers of a request.
     pub header_timeout: time::Duration,
-    /// Most bytes of headers.
+    /// Maximum size of the headers in bytes.
     pub header_bytes: usize,
 }
 
@@ -32,7 +32,7 @@
 const BIND_ATTEMPTS: u32 = 20;
 const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
-/// Binds `address`.
+/// Binds a TCP listener to `address`.
 ///
 /// # Errors
 /// Returns an error that names the address.
@@ -42,9 +42,9 @@
     })
 }
 
-/// Binds TCP and UDP to the same port, so that one address names a process.
+/// Binds TCP and UDP to the same port, so that one address identifies a process.
 ///
-/// With port 0 another port is tried where the one that TCP got is taken for UDP.
+/// With port 0 it tries another port if the one assigned to TCP is in use for UDP.
 ///
 /// # Errors
 /// Returns an error that names the address.
@@ -62,7 +62,7 @@
     anyhow::bail!("no port is free for both TCP and UDP; choose one in the settings")
 }
 
-/// Serves HTTP/1.1 on `listener` until the task is dropped.
+/// Serves HTTP/1.1 on `listener` until the future is dropped.
 pub async fn serve<H, F>(listener: tokio_net::TcpListener, limits: Limits, handler: H)
 where
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -72,8 +72,8 @@
     serve_with_shutdown(listener, limits, shutdown, handler).await;
 }
 
-/// Serves like [`serve`]; once `shutdown` is true, connections end with the request in flight and
-/// idle ones at once.
+/// Serves like [`serve`]; once `shutdown` is true, busy connections close after the request in
+/// flight and idle ones at once.
 pub async fn serve_with_shutdown<H, F>(
     listener: tokio_net::TcpListener,
     limits: Limits,
@@ -116,8 +116,8 @@
 {
     let _ = set_nodelay(&stream);
     let service = service::service_fn(|request| {
-        let answer = handler(request);
-        async move { Ok::<_, convert::Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, convert::Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(rt::TokioTimer::new())
