--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings files of the processes.
+//! Reader of settings files, which reports all mistakes at once.
 
 use std::{fmt, fs, net, str};
 
 use rhubarb_core::section;
 
-/// A settings file being read.
+/// Settings file being read, with the mistakes found so far.
 #[derive(Debug)]
 pub struct Settings {
     file: String,
@@ -21,8 +21,8 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, mistake) in self.mistakes.iter().enumerate() {
-            let end = if at + 1 < self.mistakes.len() { "\n" } else { "" };
+        for (index, mistake) in self.mistakes.iter().enumerate() {
+            let end = if index + 1 < self.mistakes.len() { "\n" } else { "" };
             write!(f, "{}: {mistake}{end}", self.file)?;
         }
         Ok(())
@@ -35,7 +35,7 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// Returns an error for a file that cannot be read or is not INI.
+    /// Returns an error if the file cannot be read or is not valid INI.
     pub fn load(path: &str) -> Result<Settings, SettingsError> {
         let text = fs::read_to_string(path).map_err(|err| SettingsError {
             file: path.to_string(),
@@ -48,10 +48,10 @@
         Settings::parse(path, &text)
     }
 
-    /// Reads `text`; `file` is named in messages.
+    /// Parses `text`; error messages name `file`.
     ///
     /// # Errors
-    /// Returns an error for text that is not INI.
+    /// Returns an error if the text is not valid INI.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let file = file.to_string();
         match section::read_sections(text) {
@@ -60,20 +60,22 @@
         }
     }
 
-    /// Takes the section `name` out, to be read and closed; an absent section is empty.
+    /// Removes and returns the section `name`, or an empty one if it is missing.
+    ///
+    /// The caller reads it and passes it to [`Settings::close`].
     pub fn section(&mut self, name: &str) -> section::Section {
         match self.sections.iter().position(|section| section.name == name) {
-            Some(at) => self.sections.remove(at),
+            Some(index) => self.sections.remove(index),
             None => section::Section::empty(name),
         }
     }
 
-    /// Ends the reading of a section.
+    /// Collects the mistakes of a section, unknown fields included.
     pub fn close(&mut self, section: section::Section) {
         self.mistakes.extend(section.finish());
     }
 
-    /// Ends the reading of the file.
+    /// Completes the reading of the file.
     ///
     /// # Errors
     /// Returns every mistake found, unknown sections included.
@@ -91,21 +93,21 @@
     }
 }
 
-/// Reads a required address `IP:PORT`; a mistake is noted where it is missing or malformed.
+/// Reads a required address `IP:PORT`; records a mistake if it is missing or malformed.
 pub fn address(section: &mut section::Section, key: &str) -> net::SocketAddr {
-    let nowhere = net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let value = section.required(key);
     if value.is_empty() {
-        return nowhere;
+        return placeholder;
     }
     str::FromStr::from_str(&value).unwrap_or_else(|_| {
         let what = format!("`{key} = {value}` is not an IP number and port");
         section.mistake(key, what, "give for example 10.0.0.5:7000".to_string());
-        nowhere
+        placeholder
     })
 }
 
-/// Reads addresses `IP:PORT`, separated by commas.
+/// Reads addresses `IP:PORT`, separated by commas; records a mistake for each malformed one.
 pub fn addresses(section: &mut section::Section, key: &str) -> Vec<net::SocketAddr> {
     let words = section.words(key);
     let mut addresses = Vec::new();
@@ -121,7 +123,8 @@
     addresses
 }
 
-/// Reads a required base URL `http://IP:PORT[/PATH]`, without a slash at its end.
+/// Reads a required base URL `http://IP:PORT[/PATH]` and removes trailing slashes; records a
+/// mistake if it is missing or malformed.
 pub fn url(section: &mut section::Section, key: &str) -> String {
     let value = section.required(key);
     if !value.is_empty() && !is_url(&value) {
