--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,11 +1,11 @@
-//! Stop and reload signals.
+//! Unix signals that stop a process or reload its settings.
 
 use tokio::signal::unix;
 
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Returns an error if the signals cannot be caught.
+/// Returns an error if the signal handlers cannot be installed.
 pub async fn wait_for_stop() -> anyhow::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
@@ -16,10 +16,10 @@
     Ok(())
 }
 
-/// Signals that the settings have changed.
+/// Returns the stream of SIGHUP signals, which ask for a reload of the settings.
 ///
 /// # Errors
-/// Returns an error if the signal cannot be caught.
+/// Returns an error if the signal handler cannot be installed.
 pub fn hangups() -> anyhow::Result<unix::Signal> {
     Ok(unix::signal(unix::SignalKind::hangup())?)
 }
