--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -12,7 +12,7 @@
 /// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Version, raised by every write.
+    /// Version, incremented by every write.
     pub version: u64,
     /// Id of the last write, chosen by its writer.
     pub write_id: String,
@@ -23,9 +23,9 @@
 /// Outcome of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The write took effect; the row has this version.
+    /// The write was applied; the row has this version.
     Committed(u64),
-    /// The row had another version, and did not change.
+    /// The row had another version and is unchanged; its current state, `None` if it is absent.
     Conflict(Option<Row>),
 }
 
@@ -34,7 +34,7 @@
 pub struct Write {
     /// Key of the row.
     pub key: String,
-    /// Version that the row must have; 0 where it must be absent.
+    /// Version that the row must have; 0 if it must be absent.
     pub expected: u64,
     /// Id of the write.
     pub write_id: String,
@@ -52,48 +52,49 @@
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 impl Table {
-    /// Makes a client for the service at `url`.
+    /// Creates a client for the service at `url`.
     pub fn new(client: client::Client, url: &str) -> Table {
         Table { client, url: url.to_string() }
     }
 
-    /// Reads a row.
+    /// Reads a row; `None` if it is absent.
     ///
     /// # Errors
-    /// Returns an error while the service is away.
+    /// Returns an error while the service is unavailable.
     pub async fn read(&self, key: &str) -> Result<Option<Row>, PlatformError> {
-        let reply = self.client.get(&format!("{}/{key}", self.url), REQUEST_TIMEOUT).await?;
-        match reply.status {
-            StatusCode::OK => Ok(Some(platform::read_json(&reply)?)),
+        let response = self.client.get(&format!("{}/{key}", self.url), REQUEST_TIMEOUT).await?;
+        match response.status {
+            StatusCode::OK => Ok(Some(platform::read_json(&response)?)),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(platform::unexpected_status(&reply)),
+            _ => Err(platform::unexpected_status(&response)),
         }
     }
 
-    /// Makes all writes, or none where a row has another version.
+    /// Applies all writes, or none if a row has another version than expected.
     ///
-    /// A lost answer is settled by reading the first row back.
+    /// After a conflict, and if the response is lost or unexpected, the first row is read back to
+    /// learn whether the writes were applied.
     ///
     /// # Errors
-    /// Returns an error while the service is away; the writes may then have taken effect.
+    /// Returns an error while the service is unavailable; the writes may still have been applied.
     pub async fn commit(&self, writes: &[Write]) -> Result<WriteOutcome, PlatformError> {
         let [first, ..] = writes else { return Ok(WriteOutcome::Committed(0)) };
         let content = serde_json::json!(writes);
         match self.client.post_json(&self.url, &content, REQUEST_TIMEOUT).await {
-            Ok(reply) if reply.status == StatusCode::OK => {
+            Ok(response) if response.status == StatusCode::OK => {
                 Ok(WriteOutcome::Committed(first.expected + 1))
             }
-            Ok(reply) if reply.status == StatusCode::PRECONDITION_FAILED => {
+            Ok(response) if response.status == StatusCode::PRECONDITION_FAILED => {
                 self.resolve_conflict(&first.key, &first.write_id).await
             }
-            Ok(reply) => {
-                self.resolve_lost_response(first, platform::unexpected_status(&reply)).await
+            Ok(response) => {
+                self.resolve_unknown(first, platform::unexpected_status(&response)).await
             }
-            Err(err) => self.resolve_lost_response(first, err.into()).await,
+            Err(err) => self.resolve_unknown(first, err.into()).await,
         }
     }
 
-    async fn resolve_lost_response(
+    async fn resolve_unknown(
         &self,
         write: &Write,
         err: PlatformError,
@@ -106,10 +107,10 @@
         }
     }
 
-    /// Writes a row if it has version `expected`, where 0 means that it is absent.
+    /// Writes a row if it has version `expected`, where 0 means absent.
     ///
     /// # Errors
-    /// Returns an error while the service is away; the write may then have taken effect.
+    /// Returns an error while the service is unavailable; the write may still have been applied.
     pub async fn write(
         &self,
         key: &str,
@@ -126,7 +127,7 @@
         self.commit(&[write]).await
     }
 
-    // A conflict can be with this very write, sent again after its answer was lost.
+    // A conflict can be with this same write if it was sent again after its response was lost.
     async fn resolve_conflict(
         &self,
         key: &str,
