--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! What all processes of rhubarbloom share: settings, logs, metrics, HTTP and platform clients.
+//! Code shared by all processes of rhubarbloom: settings, logs, metrics, HTTP and platform clients.
 //!
 //! ```
 //! use rhubarb_node::settings;
