--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: each mistake is named with file, line and remedy.
+//! Settings files: every mistake is reported with its file, line and remedy.
 
 use rhubarb_node::{logs, settings, shared_settings};
 
