--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 
 use rhubarb_core::{change, edition};
-use rhubarb_node::{client, clock, editions, instances, platform, table};
+use rhubarb_node::{client, clock, instances, platform, service_list, table};
 
-use editions::LIST_KEY;
+use service_list::LIST_KEY;
 
 use crate::settings;
 
@@ -106,11 +106,11 @@
         let content = content.map_err(|_| CommandError::Input("the list has mistakes".into()))?;
         let change = format!("{:032x}", rand::random::<u128>());
         match self.table.commit(&writes(current.as_ref(), &content, expected, &change)).await {
-            Ok(table::Written::Done(version)) => Ok(Output {
+            Ok(table::WriteOutcome::Committed(version)) => Ok(Output {
                 text: format!("version {version} is accepted"),
                 json: json!({ "version": version, "change": change }),
             }),
-            Ok(table::Written::Conflict(row)) => {
+            Ok(table::WriteOutcome::Conflict(row)) => {
                 Err(conflict(expected, row.map_or(0, |row| row.version)))
             }
             Err(err) => Err(CommandError::Away(format!(
@@ -214,8 +214,8 @@
     };
     vec![
         write(LIST_KEY, expected, json!(content).to_string()),
-        write(editions::HEAD_KEY, expected, String::new()),
-        write(&editions::change_key(expected + 1), 0, change),
+        write(service_list::HEAD_KEY, expected, String::new()),
+        write(&service_list::change_key(expected + 1), 0, change),
     ]
 }
 
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, Response, StatusCode, body};
 
-use rhubarb_node::{answer, clock, logs, metrics, server, stop};
+use rhubarb_node::{clock, logs, metrics, response, server, signals};
 use rhubarb_platform::{paths, settings, store};
 
 use tokio::{sync as lock, task};
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Returns an error if an address cannot be bound or signals cannot be caught.
-pub async fn run(settings: settings::Settings, dropped: logs::Dropped) -> anyhow::Result<()> {
+pub async fn run(settings: settings::Settings, dropped: logs::DroppedLines) -> anyhow::Result<()> {
     let callers = server::bind(settings.callers).await?;
     let ready = server::bind(settings.ready).await?;
     let scrapes = server::bind((settings.ip, metrics::PLATFORM_PORT).into()).await?;
@@ -41,8 +41,9 @@
     }
     tokio::spawn(watch::sweep(edge.clone()));
     tokio::spawn(duty::run(edge.clone()));
-    tokio::spawn(reload::run(edge.clone(), stop::hangups()?));
-    let (snapshots, shares) = server::bind_both(peers::address(&edge, edge.settings().ip)).await?;
+    tokio::spawn(reload::run(edge.clone(), signals::hangups()?));
+    let (snapshots, shares) =
+        server::bind_tcp_and_udp(peers::address(&edge, edge.settings().ip)).await?;
     let shares = sync::Arc::new(shares);
     let writing = tokio::spawn(ledger::run(edge.clone()));
     tokio::spawn(peers::tell(edge.clone(), shares.clone()));
@@ -52,14 +53,15 @@
     tokio::spawn(peers::discover(edge.clone()));
     let limits = server::Limits {
         connections: CONNECTIONS,
-        header_time: IDLE_TIME,
+        header_timeout: IDLE_TIME,
         header_bytes: HEADER_BYTES,
     };
     let shared = edge.clone();
     let (close, closing) = lock::watch::channel(false);
-    let serving = tokio::spawn(server::serve_until(callers, limits, closing, move |request| {
-        ingress::handle(shared.clone(), request)
-    }));
+    let serving =
+        tokio::spawn(server::serve_with_shutdown(callers, limits, closing, move |request| {
+            ingress::handle(shared.clone(), request)
+        }));
     for listener in [ready, scrapes] {
         let (shared, dropped) = (edge.clone(), dropped.clone());
         tokio::spawn(server::serve(listener, server::Limits::default(), move |request| {
@@ -67,7 +69,7 @@
             tell(shared.clone(), request)
         }));
     }
-    stop::wait().await?;
+    signals::wait_for_stop().await?;
     edge.stop();
     drain(&edge, &close, serving).await;
     // A record that is being written must not come after the last one.
@@ -79,12 +81,12 @@
 async fn tell(
     edge: sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
-) -> Response<answer::Body> {
+) -> Response<response::Body> {
     match request.uri().path() {
-        paths::READY if edge.is_ready() => answer::text(StatusCode::OK, "ready\n"),
-        paths::READY => answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        "/metrics" => edge.counters.registry.answer(),
-        _ => answer::text(StatusCode::NOT_FOUND, "no such page\n"),
+        paths::READY if edge.is_ready() => response::text(StatusCode::OK, "ready\n"),
+        paths::READY => response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        "/metrics" => edge.counters.registry.response(),
+        _ => response::text(StatusCode::NOT_FOUND, "no such page\n"),
     }
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! What all processes of rhubarbloom share: settings, logs, metrics, HTTP and platform clients.
+//! Code shared by all processes of rhubarbloom: settings, logs, metrics, HTTP and platform clients.
 //!
 //! ```
 //! use rhubarb_node::settings;
@@ -12,12 +12,9 @@
 //! file.finish().unwrap();
 //! ```
 
-pub mod answer;
 pub mod client;
 pub mod clock;
 pub mod command;
-pub mod control;
-pub mod editions;
 pub mod hop;
 pub mod instances;
 pub mod locks;
@@ -25,8 +22,11 @@
 pub mod metrics;
 pub mod objects;
 pub mod platform;
-pub mod reply;
+pub mod responder;
+pub mod response;
 pub mod server;
+pub mod service_list;
 pub mod settings;
-pub mod stop;
+pub mod shared_settings;
+pub mod signals;
 pub mod table;
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -4,23 +4,23 @@
 
 use crate::client;
 
-/// Why the platform did not do as asked.
+/// Why a request to the platform failed.
 #[derive(Debug)]
 pub enum PlatformError {
-    /// The service did not answer, or answered that it is down.
-    Away(String),
-    /// The service answered something that is not its protocol.
+    /// The service did not respond, or responded that it is down or overloaded.
+    Unavailable(String),
+    /// The response does not follow the protocol.
     Protocol(String),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Away(what) => {
-                write!(f, "the platform is away: {what}; it is tried again")
+            PlatformError::Unavailable(what) => {
+                write!(f, "the platform is unavailable: {what}; retrying")
             }
             PlatformError::Protocol(what) => {
-                write!(f, "unexpected answer of the platform: {what}; check the URL")
+                write!(f, "unexpected response from the platform: {what}; check the URL")
             }
         }
     }
@@ -30,24 +30,24 @@
 
 impl From<client::CallError> for PlatformError {
     fn from(err: client::CallError) -> PlatformError {
-        PlatformError::Away(err.to_string())
+        PlatformError::Unavailable(err.to_string())
     }
 }
 
-/// Error for an answer with an unexpected status.
-pub(crate) fn unexpected(reply: &client::Reply) -> PlatformError {
-    let what = format!("status {}", reply.status.as_u16());
-    let is_busy = reply.status == hyper::StatusCode::TOO_MANY_REQUESTS;
-    if reply.status.is_server_error() || is_busy {
-        PlatformError::Away(what)
+/// Returns the error for a response with an unexpected status.
+pub(crate) fn unexpected_status(response: &client::FullResponse) -> PlatformError {
+    let what = format!("status {}", response.status.as_u16());
+    let is_busy = response.status == hyper::StatusCode::TOO_MANY_REQUESTS;
+    if response.status.is_server_error() || is_busy {
+        PlatformError::Unavailable(what)
     } else {
         PlatformError::Protocol(what)
     }
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn read_json<T: serde::de::DeserializeOwned>(
-    reply: &client::Reply,
+    response: &client::FullResponse,
 ) -> Result<T, PlatformError> {
-    serde_json::from_slice(&reply.body).map_err(|err| PlatformError::Protocol(err.to_string()))
+    serde_json::from_slice(&response.body).map_err(|err| PlatformError::Protocol(err.to_string()))
 }
--- /dev/null
+++ b/crates/node/src/responder.rs
@@ -0,0 +1,96 @@
+//! Sends the response to a caller, and waits for events while the caller stays connected.
+
+use std::{io, time};
+
+use bytes::Bytes;
+use hyper::Response;
+use tokio::sync::{mpsc, oneshot};
+
+use crate::response;
+
+/// Chunks buffered for a caller that reads slowly.
+const MAX_CHUNKS: usize = 16;
+
+/// Sends the response to one request.
+#[derive(Debug)]
+pub struct Responder {
+    head: Option<oneshot::Sender<Response<response::Body>>>,
+    body: Option<mpsc::Sender<io::Result<Bytes>>>,
+}
+
+/// Result of waiting for an event.
+#[derive(Debug)]
+pub enum WaitOutcome<T> {
+    /// The event occurred.
+    Event(T),
+    /// The caller closed its connection.
+    Disconnected,
+    /// The deadline passed.
+    Expired,
+}
+
+impl Responder {
+    /// Creates a responder and the receiver of its response.
+    pub fn new() -> (Responder, oneshot::Receiver<Response<response::Body>>) {
+        let (head, receiver) = oneshot::channel();
+        (Responder { head: Some(head), body: None }, receiver)
+    }
+
+    /// Whether the response has started.
+    pub fn has_started(&self) -> bool {
+        self.head.is_none()
+    }
+
+    /// Sends a complete response; no effect once a response has started.
+    pub fn respond(&mut self, response: Response<response::Body>) {
+        if let Some(head) = self.head.take() {
+            let _ = head.send(response);
+        }
+    }
+
+    /// Starts a response whose body follows in chunks.
+    pub fn start_stream(&mut self, response: Response<()>) {
+        let (sender, receiver) = mpsc::channel(MAX_CHUNKS);
+        self.body = Some(sender);
+        self.respond(response.map(|()| response::stream(receiver)));
+    }
+
+    /// Sends a chunk; false if no stream is open, the caller disconnected, or the buffer stays full
+    /// until `deadline`.
+    pub async fn send(&self, bytes: Bytes, deadline: time::Instant) -> bool {
+        let Some(body) = &self.body else { return false };
+        let sending = body.send(Ok(bytes));
+        let sent = tokio::time::timeout_at(deadline.into(), sending).await;
+        matches!(sent, Ok(Ok(())))
+    }
+
+    /// Aborts a streamed response, so that the caller cannot mistake it for a complete one.
+    pub async fn abort(&mut self, reason: &str) {
+        if let Some(body) = self.body.take() {
+            let _ = body.try_send(Err(io::Error::other(reason.to_string())));
+        }
+    }
+
+    /// Waits until the caller disconnects.
+    pub async fn closed(&mut self) {
+        if let Some(head) = &mut self.head {
+            head.closed().await;
+        } else if let Some(body) = &self.body {
+            body.closed().await;
+        }
+    }
+
+    /// Waits for `event` until the caller disconnects or the deadline passes.
+    pub async fn wait<T>(
+        &mut self,
+        event: impl Future<Output = T>,
+        deadline: time::Instant,
+    ) -> WaitOutcome<T> {
+        tokio::select! {
+            biased;
+            event = event => WaitOutcome::Event(event),
+            () = self.closed() => WaitOutcome::Disconnected,
+            () = tokio::time::sleep_until(deadline.into()) => WaitOutcome::Expired,
+        }
+    }
+}
