--- a/crates/agent/src/beats.rs
+++ b/crates/agent/src/beats.rs
@@ -13,14 +13,14 @@
     let mut buffer = [0; datagram::MAX_BYTES + 1];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
-        let Ok(datagram::Beat::Follow(follow)) =
-            datagram::open(&agent.settings.keys, &buffer[..length])
+        let Ok(datagram::Heartbeat::Follow(follow)) =
+            datagram::decode(&agent.settings.keys, &buffer[..length])
         else {
             agent.metrics.bad_peers.inc();
             continue;
         };
-        let report = datagram::Beat::Report(report(&agent, &follow));
-        let bytes = datagram::seal(&agent.settings.keys, &report);
+        let report = datagram::Heartbeat::Report(report(&agent, &follow));
+        let bytes = datagram::encode(&agent.settings.keys, &report);
         let _ = socket.send_to(&bytes, peer).await;
         agent.lock().depends_ready |= follow.depends_ready;
         if follow.leaving {
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -51,7 +51,7 @@
             depends_ready: ready.contains(&name),
         };
         asked.insert(name, now);
-        let bytes = datagram::seal(&entry.settings.keys, &datagram::Beat::Follow(follow));
+        let bytes = datagram::encode(&entry.settings.keys, &datagram::Heartbeat::Follow(follow));
         let _ = socket.send_to(&bytes, address).await;
     }
 }
@@ -62,7 +62,8 @@
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         let keys = &entry.settings.keys;
-        let Ok(datagram::Beat::Report(report)) = datagram::open(keys, &buffer[..length]) else {
+        let Ok(datagram::Heartbeat::Report(report)) = datagram::decode(keys, &buffer[..length])
+        else {
             continue;
         };
         // Late and repeated datagrams must not overwrite newer loads.
--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -20,25 +20,25 @@
 fn measure_beats(meter: &mut meter::Meter) {
     let keys = auth::Keys::new(vec!["0123456789abcdef0123456789abcdef".into()]);
     let keys = keys.expect("the key is long enough");
-    let follow = datagram::Beat::Follow(datagram::Follow {
+    let follow = datagram::Heartbeat::Follow(datagram::Follow {
         incarnation: u64::MAX,
         seq: 1_000_000,
         version: 100_000,
         leaving: false,
         depends_ready: true,
     });
-    let report = datagram::Beat::Report(datagram::Report {
+    let report = datagram::Heartbeat::Report(datagram::Report {
         server: "clip-decode-0123".into(),
         incarnation: u64::MAX,
         seq: 1_000_000,
         version: 100_000,
         load: load::Load { rooms: 300, held: 280, waiting: 10, queue_ms: 900, leaving: false },
     });
-    let sealed = datagram::seal(&keys, &report);
-    meter.size("load request, without IP and UDP headers", datagram::seal(&keys, &follow).len());
+    let sealed = datagram::encode(&keys, &report);
+    meter.size("load request, without IP and UDP headers", datagram::encode(&keys, &follow).len());
     meter.size("load report, without IP and UDP headers", sealed.len());
-    meter.time("seal a load request or report", 20_000, |_| datagram::seal(&keys, &report));
-    meter.time("open a load request or report", 20_000, |_| datagram::open(&keys, &sealed));
+    meter.time("seal a load request or report", 20_000, |_| datagram::encode(&keys, &report));
+    meter.time("open a load request or report", 20_000, |_| datagram::decode(&keys, &sealed));
 }
 
 fn measure_pool(meter: &mut meter::Meter) {
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -13,7 +13,7 @@
 
 /// Message in a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Beat {
+pub enum Heartbeat {
     /// An entry asks for the load of a server.
     Follow(Follow),
     /// The agent's answer.
@@ -77,8 +77,8 @@
 impl std::error::Error for DatagramError {}
 
 /// Encodes and signs a datagram.
-pub fn seal(keys: &auth::Keys, beat: &Beat) -> Vec<u8> {
-    let body = postcard::to_allocvec(beat).expect("beats can be encoded");
+pub fn encode(keys: &auth::Keys, heartbeat: &Heartbeat) -> Vec<u8> {
+    let body = postcard::to_allocvec(heartbeat).expect("beats can be encoded");
     let mut bytes = vec![frame::VERSION];
     bytes.extend(keys.sign(&[b"beat", &body]));
     bytes.extend(body);
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// Returns why the datagram is to be dropped.
-pub fn open(keys: &auth::Keys, bytes: &[u8]) -> Result<Beat, DatagramError> {
+pub fn decode(keys: &auth::Keys, bytes: &[u8]) -> Result<Heartbeat, DatagramError> {
     if bytes.len() <= 1 + auth::PROOF_BYTES || bytes.len() > MAX_BYTES {
         return Err(DatagramError::Length);
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,9 +4,9 @@
 //! use rhubarb_wire::{auth, datagram};
 //!
 //! let keys = auth::Keys::new(vec!["a shared secret of 16 or more".to_string()]).unwrap();
-//! let beat = datagram::Beat::Follow(datagram::Follow::default());
-//! let bytes = datagram::seal(&keys, &beat);
-//! assert_eq!(datagram::open(&keys, &bytes).unwrap(), beat);
+//! let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
+//! let bytes = datagram::encode(&keys, &heartbeat);
+//! assert_eq!(datagram::decode(&keys, &bytes).unwrap(), heartbeat);
 //! ```
 
 pub mod auth;
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -84,14 +84,14 @@
 
 #[test]
 fn forged_datagram() {
-    let beat = datagram::Beat::Follow(datagram::Follow::default());
-    let bytes = datagram::seal(&keys("the right shared key"), &beat);
-    let refused = datagram::open(&keys("some other shared key"), &bytes);
+    let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
+    let bytes = datagram::encode(&keys("the right shared key"), &heartbeat);
+    let refused = datagram::decode(&keys("some other shared key"), &bytes);
     assert_eq!(refused, Err(datagram::DatagramError::Proof));
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(datagram::open(&keys("the right shared key"), &changed).is_err(), "byte {at}");
+        assert!(datagram::decode(&keys("the right shared key"), &changed).is_err(), "byte {at}");
     }
 }
 
@@ -100,9 +100,12 @@
     let old = keys("the older shared key");
     let both = vec!["the newer shared key".to_string(), "the older shared key".to_string()];
     let both = auth::Keys::new(both).unwrap();
-    let beat = datagram::Beat::Follow(datagram::Follow::default());
-    assert!(datagram::open(&both, &datagram::seal(&old, &beat)).is_ok());
-    assert!(datagram::open(&old, &datagram::seal(&both, &beat)).is_err(), "give both keys first");
+    let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
+    assert!(datagram::decode(&both, &datagram::encode(&old, &heartbeat)).is_ok());
+    assert!(
+        datagram::decode(&old, &datagram::encode(&both, &heartbeat)).is_err(),
+        "give both keys first"
+    );
     assert!(auth::Keys::new(vec!["short".into()]).is_none());
     assert!(auth::Keys::new(Vec::new()).is_none());
 }
@@ -132,7 +135,7 @@
         framed.extend(&bytes);
         let _ = frame::decode::<message::Order>(&framed);
         let _ = frame::decode::<message::Notice>(&framed);
-        prop_assert!(datagram::open(&keys("the right shared key"), &bytes).is_err());
+        prop_assert!(datagram::decode(&keys("the right shared key"), &bytes).is_err());
     }
 
     #[test]
