--- a/crates/agent/src/decode.rs
+++ b/crates/agent/src/decode.rs
@@ -56,7 +56,7 @@
         StatusCode::TOO_MANY_REQUESTS => return Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
         _ => return Err(Refusal::unknown(Reason::EngineFailed, RETRY_SOON)),
     }
-    output.set_head(STATUS_OK, vec![message::write_prompt_tokens(order.prompt_tokens)]);
+    output.set_head(STATUS_OK, vec![message::prompt_tokens_header(order.prompt_tokens)]);
     copy_events(body, output).await
 }
 
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -6,7 +6,7 @@
 use rhubarb_wire::{message, offer};
 
 /// Frames on their way to an entry.
-pub(crate) type Sender = mpsc::Sender<message::Notice>;
+pub(crate) type Sender = mpsc::Sender<message::ToEntry>;
 
 /// A job that waits for a room.
 #[derive(Debug)]
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -140,12 +140,13 @@
             spawn(agent, run, async move {
                 let result = prefill::call(&agent_ref, prefill).await;
                 finish(&agent_ref, run, result.as_ref().map(drop).map_err(|refusal| *refusal));
-                let refused = |refusal| message::Notice::Refused(message::Refused { run, refusal });
-                let notice = result.map_or_else(refused, message::Notice::Prefilled);
+                let refused =
+                    |refusal| message::ToEntry::Refused(message::Refused { run, refusal });
+                let notice = result.map_or_else(refused, message::ToEntry::Prefilled);
                 let _ = sender_ref.send(notice).await;
             });
         }
-        Job::Reserve(_) => tell(sender, message::Notice::Reserved(run)),
+        Job::Reserve(_) => tell(sender, message::ToEntry::Reserved(run)),
     }
 }
 
@@ -327,17 +328,17 @@
     agent.count(refusal);
     if let Some(waiting) = waiting {
         let refused = message::Refused { run, refusal };
-        tell(&waiting.sender, message::Notice::Refused(refused));
+        tell(&waiting.sender, message::ToEntry::Refused(refused));
     }
 }
 
 fn refuse(agent: &Shared, run: ids::RunId, refusal: Refusal, sender: &Sender) {
     agent.count(refusal);
-    tell(sender, message::Notice::Refused(message::Refused { run, refusal }));
+    tell(sender, message::ToEntry::Refused(message::Refused { run, refusal }));
 }
 
 // Called where waiting is not possible; the queue to an entry holds far more than its requests.
-fn tell(sender: &Sender, notice: message::Notice) {
+fn tell(sender: &Sender, notice: message::ToEntry) {
     let sender = sender.clone();
     tokio::spawn(async move { sender.send(notice).await });
 }
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -95,22 +95,22 @@
         incarnation: agent.incarnation,
         nonce: rand::random(),
     };
-    frame::write(writer, &message::Notice::Challenge(challenge.clone())).await?;
+    frame::write(writer, &message::ToEntry::Challenge(challenge.clone())).await?;
     let order = frame::read(reader, frame::MAX_HELLO_BYTES).await?;
-    let message::Order::Hello(hello) = order else {
+    let message::ToAgent::Hello(hello) = order else {
         anyhow::bail!("the first message is not a hello; check that the peer is an entry");
     };
     if !hello.is_signed(keys, &challenge) {
         anyhow::bail!("the hello is not signed; give all processes the same shared keys");
     }
     let welcome = message::Welcome::sign(keys, &hello, agent.pong(0));
-    frame::write(writer, &message::Notice::Welcome(welcome)).await?;
+    frame::write(writer, &message::ToEntry::Welcome(welcome)).await?;
     Ok(())
 }
 
 async fn write_loop(
     writer: tcp::OwnedWriteHalf,
-    mut receiver: mpsc::Receiver<message::Notice>,
+    mut receiver: mpsc::Receiver<message::ToEntry>,
 ) -> io::Result<()> {
     let mut writer = io::BufWriter::new(writer);
     while let Some(notice) = receiver.recv().await {
@@ -125,7 +125,7 @@
 
 async fn read_loop(
     mut reader: tcp::OwnedReadHalf,
-    forward: mpsc::Sender<Result<message::Order, frame::FrameError>>,
+    forward: mpsc::Sender<Result<message::ToAgent, frame::FrameError>>,
 ) {
     loop {
         let order = frame::read(&mut reader, frame::MAX_FRAME_BYTES).await;
@@ -139,7 +139,7 @@
 // An entry with open runs must be heard of often; one without only now and then.
 async fn obey_all(
     agent: &Shared,
-    mut orders: mpsc::Receiver<Result<message::Order, frame::FrameError>>,
+    mut orders: mpsc::Receiver<Result<message::ToAgent, frame::FrameError>>,
     sender: &job::Sender,
     runs: &mut collections::BTreeSet<ids::RunId>,
 ) -> anyhow::Result<()> {
@@ -170,47 +170,47 @@
 
 async fn obey(
     agent: &Shared,
-    order: message::Order,
+    order: message::ToAgent,
     sender: &job::Sender,
     runs: &mut collections::BTreeSet<ids::RunId>,
 ) {
     match order {
-        message::Order::Hello(_) => {}
-        message::Order::Offer(offer) => {
+        message::ToAgent::Hello(_) => {}
+        message::ToAgent::Offer(offer) => {
             runs.insert(offer.run);
             jobs::accept(agent, job::Job::Plain(offer), sender);
         }
-        message::Order::Reserve(reserve) => {
+        message::ToAgent::Reserve(reserve) => {
             runs.insert(reserve.run);
             jobs::accept(agent, job::Job::Reserve(reserve), sender);
         }
-        message::Order::Prefill(prefill) => {
+        message::ToAgent::Prefill(prefill) => {
             runs.insert(prefill.run);
             jobs::accept(agent, job::Job::Prefill(prefill), sender);
         }
-        message::Order::Decode(decode) => jobs::start_decode(agent, decode, sender),
-        message::Order::Cancel(run) => {
+        message::ToAgent::Decode(decode) => jobs::start_decode(agent, decode, sender),
+        message::ToAgent::Cancel(run) => {
             runs.remove(&run);
             jobs::cancel(agent, run);
         }
-        message::Order::Resume(resume) => {
+        message::ToAgent::Resume(resume) => {
             runs.insert(resume.run);
             jobs::resume(agent, resume, sender);
         }
-        message::Order::Ping(ping) => {
+        message::ToAgent::Ping(ping) => {
             let pong = agent.pong(ping.seq);
             let wants = lists::is_behind(agent, ping.version);
-            let _ = sender.send(message::Notice::Pong(pong)).await;
+            let _ = sender.send(message::ToEntry::Pong(pong)).await;
             if wants {
                 let version = agent.lock().editions.version();
-                let _ = sender.send(message::Notice::WantList(version)).await;
+                let _ = sender.send(message::ToEntry::WantList(version)).await;
             }
         }
-        message::Order::WantList(version) => {
+        message::ToAgent::WantList(version) => {
             if let Some(copy) = lists::copy(agent, version) {
-                let _ = sender.send(message::Notice::List(copy)).await;
+                let _ = sender.send(message::ToEntry::List(copy)).await;
             }
         }
-        message::Order::List(copy) => lists::take_copy(agent, &copy),
+        message::ToAgent::List(copy) => lists::take_copy(agent, &copy),
     }
 }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -27,7 +27,7 @@
     let version = state.editions.version();
     let count = state.links.len().max(1);
     let link = state.links.values().nth(rand::random::<u64>() as usize % count);
-    let asked = link.is_some_and(|link| link.try_send(message::Notice::WantList(version)).is_ok());
+    let asked = link.is_some_and(|link| link.try_send(message::ToEntry::WantList(version)).is_ok());
     if !asked {
         agent.list_wanted.notify_one();
     }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -98,7 +98,7 @@
         &self,
         run: ids::RunId,
         cursor: &mut Cursor,
-    ) -> Option<message::Notice> {
+    ) -> Option<message::ToEntry> {
         let mut changed = self.changed.subscribe();
         loop {
             changed.mark_unchanged();
@@ -112,27 +112,27 @@
         }
     }
 
-    fn poll(&self, run: ids::RunId, cursor: &mut Cursor) -> Option<message::Notice> {
+    fn poll(&self, run: ids::RunId, cursor: &mut Cursor) -> Option<message::ToEntry> {
         let buffer = self.lock();
         if let (false, Some((status, headers))) = (cursor.head, &buffer.head) {
             cursor.head = true;
             let head = message::Head { run, status: *status, headers: headers.clone() };
-            return Some(message::Notice::Head(head));
+            return Some(message::ToEntry::Head(head));
         }
         let rest = buffer.bytes.get(cursor.offset as usize..).unwrap_or_default();
         if !rest.is_empty() {
             let bytes = rest[..rest.len().min(CHUNK_BYTES)].to_vec();
             let offset = cursor.offset;
             cursor.offset += bytes.len() as u64;
-            return Some(message::Notice::Chunk(chunk::Chunk { run, offset, bytes }));
+            return Some(message::ToEntry::Chunk(chunk::Chunk { run, offset, bytes }));
         }
         let end = buffer.end?;
         cursor.ended = true;
         Some(match end {
             End::Whole => {
-                message::Notice::End(message::End { run, length: buffer.bytes.len() as u64 })
+                message::ToEntry::End(message::End { run, length: buffer.bytes.len() as u64 })
             }
-            End::Refused(refusal) => message::Notice::Refused(message::Refused { run, refusal }),
+            End::Refused(refusal) => message::ToEntry::Refused(message::Refused { run, refusal }),
         })
     }
 
--- a/crates/entry/src/channel.rs
+++ b/crates/entry/src/channel.rs
@@ -63,9 +63,9 @@
     /// Connect, or probe the connection.
     Connect,
     /// Send the first order of a run.
-    Open { run: ids::RunId, incarnation: ids::Incarnation, order: message::Order, sink: Sink },
+    Open { run: ids::RunId, incarnation: ids::Incarnation, order: message::ToAgent, sink: Sink },
     /// Send a further order.
-    Send(message::Order),
+    Send(message::ToAgent),
     /// Cancel a run.
     Close(ids::RunId),
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -144,7 +144,7 @@
         };
         let wait_by = self.ticket.deadline.min(clock::now() + self.targets.max_wait);
         let run = self.ticket.entry.backend.next_run();
-        let order = message::Order::Reserve(message::Reserve {
+        let order = message::ToAgent::Reserve(message::Reserve {
             run,
             key: self.ticket.key.as_ref().map(|key| key.hash),
             wait_by_ms: contact.clock_at(wait_by),
@@ -206,7 +206,7 @@
             return self.unreachable(Some(server.clone()), false);
         };
         let run = self.ticket.entry.backend.next_run();
-        let order = message::Order::Prefill(message::Prefill {
+        let order = message::ToAgent::Prefill(message::Prefill {
             run,
             start_by_ms: contact.clock_at(self.ticket.deadline),
             due_ms: contact.clock_at(self.ticket.arrived + self.targets.first_token),
@@ -246,7 +246,7 @@
         let (Some(placed), Some(prefilled)) = (&self.decode, &self.prefilled) else {
             return self.unreachable(None, self.ticket.key.is_some());
         };
-        let order = message::Order::Decode(message::Decode {
+        let order = message::ToAgent::Decode(message::Decode {
             run: placed.run.id,
             limit_ms: self.ticket.time_left().as_millis() as u64,
             source: prefilled.source.clone(),
--- a/crates/entry/src/dial.rs
+++ b/crates/entry/src/dial.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct Wire {
     writer: tcp::tcp::OwnedWriteHalf,
-    pub(crate) notices: mpsc::Receiver<message::Notice>,
+    pub(crate) notices: mpsc::Receiver<message::ToEntry>,
     heard_at: time::Instant,
     sent_at: time::Instant,
     // When an answer to a ping is overdue, if nothing has been heard since.
@@ -41,7 +41,7 @@
 }
 
 impl Wire {
-    pub(crate) async fn send(&mut self, order: &message::Order) -> bool {
+    pub(crate) async fn send(&mut self, order: &message::ToAgent) -> bool {
         self.sent_at = clock::now();
         // A frozen agent reads nothing, so a full connection must not block the task.
         let writing = frame::write(&mut self.writer, order);
@@ -64,7 +64,7 @@
         self.seq += 1;
         let due_at = clock::now() + limit;
         self.due_at = Some(self.due_at.map_or(due_at, |earlier| earlier.min(due_at)));
-        self.send(&message::Order::Ping(message::Ping { seq: self.seq, version })).await
+        self.send(&message::ToAgent::Ping(message::Ping { seq: self.seq, version })).await
     }
 
     /// Notes that the agent was heard.
@@ -91,7 +91,7 @@
     Ok((wire, incarnation, pong))
 }
 
-async fn read_loop(mut reader: tcp::tcp::OwnedReadHalf, sender: mpsc::Sender<message::Notice>) {
+async fn read_loop(mut reader: tcp::tcp::OwnedReadHalf, sender: mpsc::Sender<message::ToEntry>) {
     while let Ok(notice) = frame::read(&mut reader, frame::MAX_FRAME_BYTES).await {
         if sender.send(notice).await.is_err() {
             return;
@@ -108,11 +108,11 @@
         let stream = tcp::TcpStream::connect(address).await.ok()?;
         let (mut reader, mut writer) = stream.into_split();
         greet(identity, None, &mut reader, &mut writer).await.ok()?;
-        frame::write(&mut writer, &message::Order::WantList(0)).await.ok()?;
+        frame::write(&mut writer, &message::ToAgent::WantList(0)).await.ok()?;
         loop {
             match frame::read(&mut reader, frame::MAX_FRAME_BYTES).await.ok()? {
-                message::Notice::List(copy) => return Some(copy),
-                message::Notice::WantList(_) | message::Notice::Pong(_) => {}
+                message::ToEntry::List(copy) => return Some(copy),
+                message::ToEntry::WantList(_) | message::ToEntry::Pong(_) => {}
                 _ => return None,
             }
         }
@@ -129,7 +129,7 @@
 ) -> anyhow::Result<(ids::Incarnation, message::Pong)> {
     let Identity { name, incarnation, keys } = identity;
     let notice = frame::read(reader, frame::MAX_HELLO_BYTES).await?;
-    let message::Notice::Challenge(challenge) = notice else {
+    let message::ToEntry::Challenge(challenge) = notice else {
         anyhow::bail!("the first message is no challenge; check the instance list");
     };
     if server.is_some_and(|server| server != challenge.server) {
@@ -137,9 +137,9 @@
     }
     let nonce = rand::random();
     let hello = message::Hello::sign(keys, &challenge, name, *incarnation, nonce);
-    frame::write(writer, &message::Order::Hello(hello.clone())).await?;
+    frame::write(writer, &message::ToAgent::Hello(hello.clone())).await?;
     let notice = frame::read(reader, frame::MAX_HELLO_BYTES).await?;
-    let message::Notice::Welcome(welcome) = notice else {
+    let message::ToEntry::Welcome(welcome) = notice else {
         anyhow::bail!("no welcome; check the shared keys");
     };
     if !welcome.is_signed(keys, &hello) {
--- a/crates/entry/src/keeper.rs
+++ b/crates/entry/src/keeper.rs
@@ -139,7 +139,7 @@
     async fn resume_all(&mut self, wire: &mut dial::Wire) {
         for (run, open) in &self.runs {
             let resume = message::Resume { run: *run, offset: open.assembly.offset() };
-            wire.send(&message::Order::Resume(resume)).await;
+            wire.send(&message::ToAgent::Resume(resume)).await;
         }
     }
 
@@ -229,35 +229,35 @@
             channel::Command::Send(order) => wire.send(&order).await,
             channel::Command::Close(run) => {
                 self.runs.remove(&run);
-                wire.send(&message::Order::Cancel(run)).await
+                wire.send(&message::ToAgent::Cancel(run)).await
             }
         }
     }
 
-    async fn take(&mut self, notice: message::Notice, wire: &mut dial::Wire) -> bool {
+    async fn take(&mut self, notice: message::ToEntry, wire: &mut dial::Wire) -> bool {
         match notice {
-            message::Notice::Challenge(_) | message::Notice::Welcome(_) => false,
-            message::Notice::Reserved(run) => self.pass(run, channel::Event::Reserved, false),
-            message::Notice::Prefilled(prefilled) => {
+            message::ToEntry::Challenge(_) | message::ToEntry::Welcome(_) => false,
+            message::ToEntry::Reserved(run) => self.pass(run, channel::Event::Reserved, false),
+            message::ToEntry::Prefilled(prefilled) => {
                 self.pass(prefilled.run, channel::Event::Prefilled(prefilled), true)
             }
-            message::Notice::Refused(refused) => {
+            message::ToEntry::Refused(refused) => {
                 self.pass(refused.run, channel::Event::Refused(refused.refusal), true)
             }
-            message::Notice::Head(head) => self.take_head(head),
-            message::Notice::Chunk(chunk) => self.take_chunk(chunk),
-            message::Notice::End(end) => self.take_end(end),
-            message::Notice::Pong(pong) => {
+            message::ToEntry::Head(head) => self.take_head(head),
+            message::ToEntry::Chunk(chunk) => self.take_chunk(chunk),
+            message::ToEntry::End(end) => self.take_end(end),
+            message::ToEntry::Pong(pong) => {
                 if let Some(incarnation) = self.link.incarnation() {
                     self.note_pong(incarnation, &pong);
                 }
                 true
             }
-            message::Notice::WantList(version) => match self.directory.copy(version) {
-                Some(copy) => wire.send(&message::Order::List(copy)).await,
+            message::ToEntry::WantList(version) => match self.directory.copy(version) {
+                Some(copy) => wire.send(&message::ToAgent::List(copy)).await,
                 None => true,
             },
-            message::Notice::List(copy) => {
+            message::ToEntry::List(copy) => {
                 self.directory.take_copy(&copy);
                 true
             }
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -75,7 +75,7 @@
         if let Some(peer) = entry.backend.peer(server)
             && peer.contact().await.is_some()
         {
-            peer.send(message::Order::WantList(entry.directory.view().version()));
+            peer.send(message::ToAgent::WantList(entry.directory.view().version()));
         }
     }
     if followed.is_empty() {
@@ -94,6 +94,6 @@
     if peer.contact().await.is_some()
         && let Some(copy) = entry.directory.copy(version)
     {
-        peer.send(message::Order::List(copy));
+        peer.send(message::ToAgent::List(copy));
     }
 }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -73,7 +73,7 @@
         &self,
         run: ids::RunId,
         contact: channel::Contact,
-        order: message::Order,
+        order: message::ToAgent,
     ) -> Run {
         let (sink, events) = mpsc::channel(EVENTS);
         let incarnation = contact.incarnation;
@@ -82,14 +82,14 @@
     }
 
     /// Sends an order that opens no run.
-    pub(crate) fn send(&self, order: message::Order) {
+    pub(crate) fn send(&self, order: message::ToAgent) {
         let _ = self.commands.send(channel::Command::Send(order));
     }
 }
 
 impl Run {
     /// Sends a further order for the run.
-    pub(crate) fn send(&self, order: message::Order) {
+    pub(crate) fn send(&self, order: message::ToAgent) {
         let _ = self.commands.send(channel::Command::Send(order));
     }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -106,7 +106,7 @@
             return self.failed(Some(server.clone()), unreachable);
         };
         let run = self.ticket.entry.backend.next_run();
-        let order = message::Order::Offer(offer::Offer {
+        let order = message::ToAgent::Offer(offer::Offer {
             run,
             key: self.ticket.key.as_ref().map(|key| key.hash),
             start_by_ms: contact.clock_at(self.ticket.deadline),
--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -77,8 +77,8 @@
 }
 
 fn measure_links(meter: &mut meter::Meter) {
-    let ping = message::Order::Ping(message::Ping { seq: 100_000, version: 100_000 });
-    let pong = message::Notice::Pong(message::Pong {
+    let ping = message::ToAgent::Ping(message::Ping { seq: 100_000, version: 100_000 });
+    let pong = message::ToEntry::Pong(message::Pong {
         seq: 100_000,
         clock_ms: 100_000_000,
         version: 100_000,
@@ -88,6 +88,6 @@
     meter.size("ping and pong on a link, without IP and TCP headers", bytes);
     meter.time("encode and decode a pong", 20_000, |_| {
         let bytes = frame::encode(&pong);
-        frame::decode::<message::Notice>(&bytes[4..]).is_ok()
+        frame::decode::<message::ToEntry>(&bytes[4..]).is_ok()
     });
 }
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -30,7 +30,7 @@
 }
 
 fn measure_frames(meter: &mut meter::Meter) {
-    let token = message::Notice::Chunk(chunk::Chunk {
+    let token = message::ToEntry::Chunk(chunk::Chunk {
         run: ids::run_id(u64::MAX, 1_000_000),
         offset: 10_000,
         bytes: br#"{"index":120,"token":"w0f3a2 "}"#.to_vec(),
@@ -38,9 +38,9 @@
     meter.size("frame with one token", frame::encode(&token).len());
     meter.time("encode and decode the frame of one token", 20_000, |_| {
         let bytes = frame::encode(&token);
-        frame::decode::<message::Notice>(&bytes[4..]).is_ok()
+        frame::decode::<message::ToEntry>(&bytes[4..]).is_ok()
     });
-    let offer = message::Order::Offer(offer::Offer {
+    let offer = message::ToAgent::Offer(offer::Offer {
         run: ids::run_id(u64::MAX, 1_000_000),
         key: Some(u128::MAX),
         start_by_ms: 100_000_000,
@@ -59,7 +59,7 @@
     meter.size("frame with a plain call of 200 bytes", frame::encode(&offer).len());
     meter.time("encode and decode the frame of a plain call", 10_000, |_| {
         let bytes = frame::encode(&offer);
-        frame::decode::<message::Order>(&bytes[4..]).is_ok()
+        frame::decode::<message::ToAgent>(&bytes[4..]).is_ok()
     });
     meter.time("take one token into an answer", 100_000, |_| {
         assembly::Assembly::default().take(0, b"token").map(<[u8]>::len)
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -8,7 +8,7 @@
 
 /// Message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum ToAgent {
     /// Answers the challenge; the first message of an entry.
     Hello(Hello),
     /// Runs a plain call.
@@ -33,7 +33,7 @@
 
 /// Message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum ToEntry {
     /// Opens the connection.
     Challenge(Challenge),
     /// Accepts the entry.
@@ -218,7 +218,7 @@
 const PROMPT_TOKENS: &str = "prompt-tokens";
 
 /// Writes the header with the tokens of a prompt.
-pub fn write_prompt_tokens(tokens: u32) -> offer::Header {
+pub fn prompt_tokens_header(tokens: u32) -> offer::Header {
     offer::Header { name: PROMPT_TOKENS.to_string(), value: tokens.to_string().into_bytes() }
 }
 
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -12,10 +12,10 @@
     auth::Keys::new(vec![key.to_string()]).unwrap()
 }
 
-fn orders() -> Vec<message::Order> {
+fn to_agent() -> Vec<message::ToAgent> {
     let run = ids::run_id(7, 9);
     vec![
-        message::Order::Offer(offer::Offer {
+        message::ToAgent::Offer(offer::Offer {
             run,
             key: Some(3),
             start_by_ms: 5,
@@ -26,59 +26,59 @@
             headers: vec![offer::Header { name: "a".into(), value: vec![0xff] }],
             body: b"body".to_vec(),
         }),
-        message::Order::Resume(message::Resume { run, offset: u64::MAX }),
-        message::Order::Cancel(run),
-        message::Order::Ping(message::Ping { seq: 1, version: 2 }),
-        message::Order::WantList(7),
+        message::ToAgent::Resume(message::Resume { run, offset: u64::MAX }),
+        message::ToAgent::Cancel(run),
+        message::ToAgent::Ping(message::Ping { seq: 1, version: 2 }),
+        message::ToAgent::WantList(7),
     ]
 }
 
-fn notices() -> Vec<message::Notice> {
+fn to_entry() -> Vec<message::ToEntry> {
     let run = ids::run_id(7, 9);
     let refusal = outcome::Refusal::never(outcome::Reason::NoRoom);
     let load = load::Load { rooms: 20, held: 3, waiting: 1, queue_ms: 9, leaving: true };
     vec![
-        message::Notice::Chunk(chunk::Chunk { run, offset: 3, bytes: b"piece".to_vec() }),
-        message::Notice::Refused(message::Refused { run, refusal }),
-        message::Notice::Pong(message::Pong { seq: 1, clock_ms: 2, version: 3, load }),
-        message::Notice::End(message::End { run, length: 8 }),
+        message::ToEntry::Chunk(chunk::Chunk { run, offset: 3, bytes: b"piece".to_vec() }),
+        message::ToEntry::Refused(message::Refused { run, refusal }),
+        message::ToEntry::Pong(message::Pong { seq: 1, clock_ms: 2, version: 3, load }),
+        message::ToEntry::End(message::End { run, length: 8 }),
     ]
 }
 
 #[test]
 fn round_trip() {
-    for order in orders() {
-        let bytes = frame::encode(&order);
-        assert_eq!(frame::decode::<message::Order>(&bytes[4..]).unwrap(), order);
+    for message in to_agent() {
+        let bytes = frame::encode(&message);
+        assert_eq!(frame::decode::<message::ToAgent>(&bytes[4..]).unwrap(), message);
     }
-    for notice in notices() {
-        let bytes = frame::encode(&notice);
-        assert_eq!(frame::decode::<message::Notice>(&bytes[4..]).unwrap(), notice);
+    for message in to_entry() {
+        let bytes = frame::encode(&message);
+        assert_eq!(frame::decode::<message::ToEntry>(&bytes[4..]).unwrap(), message);
     }
 }
 
 #[test]
 fn cut_short() {
-    for notice in notices() {
-        let bytes = frame::encode(&notice);
+    for message in to_entry() {
+        let bytes = frame::encode(&message);
         for cut in 4..bytes.len() {
-            assert!(frame::decode::<message::Notice>(&bytes[4..cut]).is_err(), "cut at {cut}");
+            assert!(frame::decode::<message::ToEntry>(&bytes[4..cut]).is_err(), "cut at {cut}");
         }
     }
 }
 
 #[test]
 fn other_version() {
-    let mut bytes = frame::encode(&message::Order::WantList(7));
+    let mut bytes = frame::encode(&message::ToAgent::WantList(7));
     bytes[4] = frame::VERSION + 1;
-    let err = frame::decode::<message::Order>(&bytes[4..]).unwrap_err();
+    let err = frame::decode::<message::ToAgent>(&bytes[4..]).unwrap_err();
     assert!(err.to_string().contains("upgrade the older peer"), "{err}");
 }
 
 #[tokio::test]
 async fn too_long() {
     let bytes = u32::MAX.to_be_bytes();
-    let read = frame::read::<message::Order, _>(&mut &bytes[..], frame::MAX_FRAME_BYTES).await;
+    let read = frame::read::<message::ToAgent, _>(&mut &bytes[..], frame::MAX_FRAME_BYTES).await;
     assert!(matches!(read, Err(frame::FrameError::TooLong(_))));
 }
 
@@ -133,16 +133,16 @@
     fn random_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut framed = vec![frame::VERSION];
         framed.extend(&bytes);
-        let _ = frame::decode::<message::Order>(&framed);
-        let _ = frame::decode::<message::Notice>(&framed);
+        let _ = frame::decode::<message::ToAgent>(&framed);
+        let _ = frame::decode::<message::ToEntry>(&framed);
         prop_assert!(datagram::decode(&keys("the right shared key"), &bytes).is_err());
     }
 
     #[test]
     fn random_changes(at in 0..200usize, byte in any::<u8>(), pick in 0..5usize) {
-        let mut bytes = frame::encode(&orders()[pick]);
+        let mut bytes = frame::encode(&to_agent()[pick]);
         let length = bytes.len();
         bytes[4 + at % (length - 4)] = byte;
-        let _ = frame::decode::<message::Order>(&bytes[4..]);
+        let _ = frame::decode::<message::ToAgent>(&bytes[4..]);
     }
 }
