--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -47,7 +47,7 @@
 pub fn is_operator(keys: &auth::Keys, headers: &HeaderMap) -> bool {
     let value = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = value.and_then(|value| value.strip_prefix("Bearer "));
-    key.is_some_and(|key| keys.holds(key))
+    key.is_some_and(|key| keys.contains(key))
 }
 
 /// Reads the field `shared_keys`; a mistake is noted where a key is missing or too short.
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether `key` is one of the keys; takes the same time whatever differs.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         let is_same = |known: &String| bool::from(known.as_bytes().ct_eq(key.as_bytes()));
         self.keys.iter().any(is_same)
     }
@@ -47,7 +47,7 @@
     }
 
     /// Whether any key made `proof` for `parts`.
-    pub fn accepts(&self, parts: &[&[u8]], proof: &Proof) -> bool {
+    pub fn verify(&self, parts: &[&[u8]], proof: &Proof) -> bool {
         self.keys.iter().any(|key| bool::from(prove(key, parts).ct_eq(proof)))
     }
 }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -98,7 +98,7 @@
     }
     let (proof, body) = bytes[1..].split_at(auth::PROOF_BYTES);
     let proof = proof.try_into().map_err(|_| DatagramError::Length)?;
-    if !keys.accepts(&[b"beat", body], proof) {
+    if !keys.verify(&[b"beat", body], proof) {
         return Err(DatagramError::Proof);
     }
     postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -275,7 +275,7 @@
 
     /// Whether the sender holds a shared key and answers `challenge`.
     pub fn is_signed(&self, keys: &auth::Keys, challenge: &Challenge) -> bool {
-        keys.accepts(&self.parts(challenge, &self.incarnation.to_be_bytes()), &self.proof)
+        keys.verify(&self.parts(challenge, &self.incarnation.to_be_bytes()), &self.proof)
     }
 
     fn parts<'a>(&'a self, challenge: &'a Challenge, incarnation: &'a [u8]) -> [&'a [u8]; 6] {
@@ -292,6 +292,6 @@
 
     /// Whether the sender holds a shared key and answers `hello`.
     pub fn is_signed(&self, keys: &auth::Keys, hello: &Hello) -> bool {
-        keys.accepts(&[b"welcome", &hello.nonce, &hello.proof], &self.proof)
+        keys.verify(&[b"welcome", &hello.nonce, &hello.proof], &self.proof)
     }
 }
