--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -98,8 +98,10 @@
 
     /// What the store said, for a peer.
     pub(crate) fn snapshot(&self, now: time::Instant) -> share::Snapshot {
-        let awaited =
-            self.fleet.awaited(now).map(|(key, left)| share::Awaited { key: key.clone(), left });
+        let awaited = self
+            .fleet
+            .awaited(now)
+            .map(|(key, left)| share::AwaitedServer { key: key.clone(), remaining: left });
         self.rows.snapshot(awaited.collect())
     }
 
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -44,7 +44,7 @@
         tokio::time::sleep(TELL_PAUSE).await;
         seq += 1;
         let targets = note_members(&edge);
-        let bytes = match make_share(&edge, seq).write() {
+        let bytes = match make_share(&edge, seq).encode() {
             Ok(bytes) => bytes,
             Err(err) => {
                 tracing::error!(%err, "edge: state not written for peers");
@@ -81,7 +81,8 @@
     let config = directory.known().config;
     let servers = directory.rows.newest;
     let own = directory.services().flat_map(|service| service.engines.own(now));
-    let given = own.map(|(id, commitment)| share::Given::new(&id, &commitment)).collect();
+    let given =
+        own.map(|(id, commitment)| share::EngineCommitment::new(&id, &commitment)).collect();
     let usage = directory
         .named_services()
         .map(|(name, service)| (name.clone(), service.engines.usage(now)));
@@ -89,12 +90,22 @@
     drop(directory);
     let changing = edge.orders().changing(now);
     let (name, incarnation) = (edge.settings().name.clone(), edge.incarnation);
-    share::Share { name, incarnation, seq, config, servers, peers, given, usage, changing }
+    share::Share {
+        name,
+        incarnation,
+        seq,
+        config,
+        servers,
+        peers,
+        committed: given,
+        usage,
+        changing,
+    }
 }
 
 /// Takes what the peers tell.
 pub(crate) async fn hear(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
-    let mut buffer = vec![0; share::MAX_DATAGRAM];
+    let mut buffer = vec![0; share::MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -103,7 +114,7 @@
                 continue;
             }
         };
-        match share::Share::read(&buffer[..length]) {
+        match share::Share::decode(&buffer[..length]) {
             Ok(share) => take(&edge, from.ip(), &share),
             Err(err) => tracing::warn!(%from, %err, "edge: datagram dropped"),
         }
@@ -175,7 +186,7 @@
     snapshot: &share::Snapshot,
 ) -> anyhow::Result<()> {
     links::set_options(stream)?;
-    io::AsyncWriteExt::write_all(stream, &snapshot.write()?).await?;
+    io::AsyncWriteExt::write_all(stream, &snapshot.encode()?).await?;
     io::AsyncWriteExt::shutdown(stream).await?;
     Ok(())
 }
@@ -211,9 +222,9 @@
     let stream = tcp::TcpStream::connect(from).await?;
     links::set_options(&stream)?;
     let mut bytes = Vec::new();
-    let mut limited = io::AsyncReadExt::take(stream, share::MAX_SNAPSHOT as u64);
+    let mut limited = io::AsyncReadExt::take(stream, share::MAX_SNAPSHOT_BYTES as u64);
     io::AsyncReadExt::read_to_end(&mut limited, &mut bytes).await?;
-    Ok(share::Snapshot::read(&bytes)?)
+    Ok(share::Snapshot::decode(&bytes)?)
 }
 
 /// Finds peers by the addresses in the settings and by the instances' rows in the store.
--- a/crates/edge/src/rows.rs
+++ b/crates/edge/src/rows.rs
@@ -72,7 +72,7 @@
     }
 
     /// All that is known, for a peer, with the servers that are waited for.
-    pub(crate) fn snapshot(&self, awaited: Vec<share::Awaited>) -> share::Snapshot {
+    pub(crate) fn snapshot(&self, awaited: Vec<share::AwaitedServer>) -> share::Snapshot {
         share::Snapshot {
             config: self.config.clone(),
             servers: self.servers.values().cloned().collect(),
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -170,15 +170,15 @@
     edge: &edge::Edge,
     rows: &[store::Row],
     version: store::Version,
-    awaited: &[share::Awaited],
+    awaited: &[share::AwaitedServer],
 ) {
     let now = clock::now();
     let mut directory = edge.directory();
     for key in directory.rows.absent(rows, version) {
         directory.rows.drop_server(&key, version);
         if let Some(server) = awaited.iter().find(|server| server.key == key) {
-            directory.fleet.await_return(&key, now + server.left);
-            tracing::info!(server = key, left = ?server.left, version, "edge: server waited for");
+            directory.fleet.await_return(&key, now + server.remaining);
+            tracing::info!(server = key, left = ?server.remaining, version, "edge: server waited for");
             continue;
         }
         let change = directory.fleet.unset(&key, now);
--- a/crates/wire/src/share.rs
+++ b/crates/wire/src/share.rs
@@ -8,9 +8,9 @@
 use rhubarb_core::{engine, ids, stages};
 
 /// Most bytes of one datagram: what fits into one packet.
-pub const MAX_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Most bytes of a snapshot.
-pub const MAX_SNAPSHOT: usize = 16 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
 /// State of one entry, sent to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,8 @@
     /// Instances that the sender has heard of lately.
     pub peers: Vec<net::IpAddr>,
     /// What the sender has given to engines; those with nothing are left out.
-    pub given: Vec<Given>,
+    #[serde(rename = "given")]
+    pub committed: Vec<EngineCommitment>,
     /// Engine time that the sender's requests have taken, by service.
     pub usage: collections::BTreeMap<ids::ServiceName, stages::Usage>,
     /// Engines that the sender has ordered to change their stage.
@@ -37,7 +38,7 @@
 
 /// Work that the sender has given to one engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Given {
+pub struct EngineCommitment {
     /// Engine.
     pub server: ids::ServerName,
     /// Memory that is expected to be taken, in tokens.
@@ -48,10 +49,10 @@
     pub prefill_ms: u32,
 }
 
-impl Given {
+impl EngineCommitment {
     /// Writes a commitment.
-    pub fn new(server: &str, commitment: &engine::Commitment) -> Given {
-        Given {
+    pub fn new(server: &str, commitment: &engine::Commitment) -> EngineCommitment {
+        EngineCommitment {
             server: server.to_string(),
             tokens: commitment.tokens,
             runs: commitment.runs,
@@ -71,14 +72,14 @@
 impl Share {
     /// Commitments by engine.
     pub fn commitments(&self) -> collections::BTreeMap<ids::ServerName, engine::Commitment> {
-        self.given.iter().map(|given| (given.server.clone(), given.commitment())).collect()
+        self.committed.iter().map(|engine| (engine.server.clone(), engine.commitment())).collect()
     }
 
     /// Writes the datagram; engines that do not fit are left out.
-    pub fn write(&mut self) -> Result<Vec<u8>, postcard::Error> {
+    pub fn encode(&mut self) -> Result<Vec<u8>, postcard::Error> {
         loop {
             let bytes = postcard::to_allocvec(self)?;
-            if bytes.len() <= MAX_DATAGRAM || self.given.pop().is_none() {
+            if bytes.len() <= MAX_DATAGRAM_BYTES || self.committed.pop().is_none() {
                 return Ok(bytes);
             }
         }
@@ -88,7 +89,7 @@
     ///
     /// # Errors
     /// Returns an error for bytes that are not one.
-    pub fn read(bytes: &[u8]) -> Result<Share, postcard::Error> {
+    pub fn decode(bytes: &[u8]) -> Result<Share, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
@@ -112,23 +113,24 @@
     /// All servers' entries.
     pub servers: Vec<Row>,
     /// Servers without an entry that the sender still counts on.
-    pub awaited: Vec<Awaited>,
+    pub awaited: Vec<AwaitedServer>,
     /// Store version up to which the servers are known.
     pub version: u64,
 }
 
 /// A server whose entry vanished around an outage of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Awaited {
+pub struct AwaitedServer {
     /// Key of its entry.
     pub key: ids::ServerName,
     /// Time for which the entry may still return.
-    pub left: time::Duration,
+    #[serde(rename = "left")]
+    pub remaining: time::Duration,
 }
 
 impl Snapshot {
     /// Writes the snapshot.
-    pub fn write(&self) -> Result<Vec<u8>, postcard::Error> {
+    pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
@@ -136,7 +138,7 @@
     ///
     /// # Errors
     /// Returns an error for bytes that are not one.
-    pub fn read(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
+    pub fn decode(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
