--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -9,7 +9,7 @@
 use tokio::net as tcp;
 
 use rhubarb_node::{clock, locks};
-use rhubarb_platform::answer;
+use rhubarb_platform::response;
 
 /// Connections that are open and idle, by server address.
 #[derive(Debug, Default)]
@@ -181,5 +181,5 @@
 
 /// How long the server keeps the connection of this answer.
 pub(crate) fn told_limit(response: &Response<body::Incoming>) -> Option<time::Duration> {
-    answer::idle_limit(response.headers())
+    response::idle_limit(response.headers())
 }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -7,7 +7,7 @@
 
 use rhubarb_core::{flow, ids, outcome, pool};
 use rhubarb_node::{answer, clock, reply};
-use rhubarb_platform::{answer as forms, request};
+use rhubarb_platform::{request, response as forms};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -154,24 +154,26 @@
         sent_at: time::Instant,
         read: exchange::Read,
     ) -> Attempt {
-        if let Some(load) = forms::load(read.head.headers()) {
+        if let Some(load) = forms::reported_load(read.head.headers()) {
             let mut directory = self.call.edge.directory();
             if read.is_success() {
                 directory.learn(&self.call.service, clock::now() - sent_at, load);
             }
             directory.hear(&self.call.service, &target.id, load, clock::now());
         }
-        match forms::judge(&read.head, self.call.head.attempt.as_ref()) {
-            forms::Proof::NotRun => Attempt::Failed(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
-            forms::Proof::OtherServer => {
+        match forms::classify(&read.head, self.call.head.attempt.as_ref()) {
+            forms::HeadClass::NotRun => {
+                Attempt::Failed(Refusal::not_run(Reason::NoRoom, RETRY_SOON))
+            }
+            forms::HeadClass::OtherServer => {
                 Attempt::Failed(Refusal::not_run(Reason::Leaving, RETRY_SOON))
             }
-            forms::Proof::Foreign => {
+            forms::HeadClass::Invalid => {
                 Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON))
             }
-            forms::Proof::Genuine => match read.body {
+            forms::HeadClass::Valid => match read.body {
                 Some(body) => {
-                    let head = forms::to_caller(&read.head);
+                    let head = forms::forwarded_head(&read.head);
                     Attempt::Whole(Whole { head, body, server: target.id.clone() })
                 }
                 None => Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON)),
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, ids, outcome, pool};
 use rhubarb_node::{clock, metrics, reply};
-use rhubarb_platform::{answer as forms, engine, request};
+use rhubarb_platform::{engine, request, response as forms};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -199,11 +199,11 @@
     target: &directory::Target,
     read: &exchange::Read,
 ) -> Result<engine::Prefilled, Refusal> {
-    let proof = forms::judge(&read.head, call.head.attempt.as_ref());
+    let proof = forms::classify(&read.head, call.head.attempt.as_ref());
     match proof {
-        forms::Proof::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
-        forms::Proof::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
-        forms::Proof::Genuine | forms::Proof::Foreign => {
+        forms::HeadClass::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
+        forms::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
+        forms::HeadClass::Valid | forms::HeadClass::Invalid => {
             let body = read.body.as_ref().filter(|_| read.is_success());
             let parsed = body.map(|body| engine::read_prefilled(body));
             match parsed {
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::outcome;
 use rhubarb_node::{answer, metrics};
-use rhubarb_platform::answer as forms;
+use rhubarb_platform::response as forms;
 
 use outcome::{Outcome, Reason, Refusal};
 
@@ -51,7 +51,7 @@
     // A time to come back is a promise that nothing ran.
     let retry = refusal.retry.filter(|_| refusal.outcome == Outcome::NotRun);
     let text = format!("{refusal}\n");
-    forms::own(status(&refusal), attempt, retry).map(|()| answer::full(text))
+    forms::local_head(status(&refusal), attempt, retry).map(|()| answer::full(text))
 }
 
 fn status(refusal: &Refusal) -> StatusCode {
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -7,7 +7,7 @@
 
 use rhubarb_core::{engine, engines, events, flow, ids, outcome, pool, routing};
 use rhubarb_node::{answer, clock, reply};
-use rhubarb_platform::{answer as forms, request};
+use rhubarb_platform::{request, response as forms};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -272,14 +272,14 @@
     }
 
     async fn take(&mut self, server: &ids::ServerName, answered: links::Answered) -> flow::Event {
-        match forms::judge(&answered.response, self.call.head.attempt.as_ref()) {
-            forms::Proof::OtherServer => {
+        match forms::classify(&answered.response, self.call.head.attempt.as_ref()) {
+            forms::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
                 return self.failed(Some(server.clone()), refusal);
             }
-            forms::Proof::NotRun => return self.not_admitted(server, answered).await,
-            forms::Proof::Foreign => return self.broken(server, Reason::LostContact),
-            forms::Proof::Genuine => {}
+            forms::HeadClass::NotRun => return self.not_admitted(server, answered).await,
+            forms::HeadClass::Invalid => return self.broken(server, Reason::LostContact),
+            forms::HeadClass::Valid => {}
         }
         if let Some(room) = &mut self.room {
             room.set_hold_used();
@@ -322,7 +322,7 @@
             reply::Waited::Event(exchange::Read { head, body: Some(body) })
                 if !self.reply.has_begun() =>
             {
-                self.reply.answer(forms::to_caller(&head).map(|()| answer::full(body)));
+                self.reply.answer(forms::forwarded_head(&head).map(|()| answer::full(body)));
                 flow::Event::Ended
             }
             reply::Waited::Event(_) => self.broken(server, Reason::EngineFailed),
@@ -334,7 +334,7 @@
         server: &ids::ServerName,
         answered: links::Answered,
     ) -> flow::Event {
-        let head = forms::to_caller(&answered.response);
+        let head = forms::forwarded_head(&answered.response);
         let told = links::told_limit(&answered.response);
         let mut reader = reader::Reader::new(answered.response.into_body());
         loop {
