--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -60,7 +60,7 @@
     let Some(body) = answer::read_body(body, limit).await else {
         return early(Refusal::never(Reason::BadRequest));
     };
-    let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let returned = edge.directory().note_asked(&service, &route.name, patience);
     start(call::Call {
         returned,
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -122,10 +122,10 @@
 
     async fn attempt(&mut self, target: &directory::Target) -> Attempt {
         let deadline = self.attempt_deadline();
-        let send = request::Send {
-            expect: &target.id,
-            left: deadline.saturating_duration_since(clock::now()),
-            ..request::Send::default()
+        let send = request::ServerHeaders {
+            server: &target.id,
+            time_left: deadline.saturating_duration_since(clock::now()),
+            ..request::ServerHeaders::default()
         };
         let request = self.call.head.to_server(&send, self.call.body.clone());
         let edge = self.call.edge.clone();
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -115,10 +115,10 @@
         return Read::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON));
     };
     let deadline = call.deadline.min(clock::now() + expected * 2 + SLACK);
-    let send = request::Send {
-        expect: &target.id,
-        left: deadline.saturating_duration_since(clock::now()),
-        ..request::Send::default()
+    let send = request::ServerHeaders {
+        server: &target.id,
+        time_left: deadline.saturating_duration_since(clock::now()),
+        ..request::ServerHeaders::default()
     };
     let request = call.head.to_prefill(&send, call.body.clone());
     let started = clock::now();
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -231,13 +231,13 @@
 
     async fn send(&mut self, target: &directory::Target) -> Sent {
         let source = self.cache.as_ref().map(prefill::Cache::source);
-        let send = request::Send {
-            expect: &target.id,
-            left: self.call.time_left(),
-            source: source.as_deref(),
+        let send = request::ServerHeaders {
+            server: &target.id,
+            time_left: self.call.time_left(),
+            kv_source: source.as_deref(),
             hold: self.room.as_ref().and_then(room::Room::hold),
             last_event: self.last_event,
-            ..request::Send::default()
+            ..request::ServerHeaders::default()
         };
         let request = self.call.head.to_server(&send, self.call.body.clone());
         let edge = self.call.edge.clone();
