--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/duty.rs
@@ -135,16 +135,18 @@
 ) -> bool {
     let Some(target) = edge.directory().target(&change.id) else { return true };
     let (id, stage) = (target.id.as_str(), change.to);
-    let state = call(edge, &target, engine::report(id)).await;
+    let state = call(edge, &target, engine::report_request(id)).await;
     let Some(state) = state.and_then(|read| read_state(id, &read)) else { return true };
     if state.is_busy || state.stage == Some(stage) {
         tracing::info!(server = id, to = ?stage, busy = state.is_busy, "edge: no order needed");
         return true;
     }
-    let (holder, orders) = (edge.settings().name.clone(), state.orders);
-    let order = engine::StageOrder { engine: id, stage, holder: &holder, fence, orders };
+    let (holder, orders) = (edge.settings().name.clone(), state.accepted_orders);
+    let order =
+        engine::StageOrder { engine: id, stage, holder: &holder, fence, expected_orders: orders };
     note_changing(edge, service, id);
-    let status = call(edge, &target, engine::order(&order)).await.map(|read| read.head.status());
+    let status =
+        call(edge, &target, engine::stage_request(&order)).await.map(|read| read.head.status());
     let code = status.map(|status| status.as_u16());
     tracing::info!(server = id, to = ?stage, fence, orders, status = code, "edge: order given");
     if status.is_some_and(|status| !status.is_success()) {
@@ -153,7 +155,7 @@
     status != Some(StatusCode::PRECONDITION_FAILED)
 }
 
-fn read_state(id: &str, read: &exchange::Read) -> Option<engine::State> {
+fn read_state(id: &str, read: &exchange::Read) -> Option<engine::EngineState> {
     let body = read.body.as_ref().filter(|_| read.is_success())?;
     match engine::read_report(body) {
         Ok(state) => Some(state),
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -26,7 +26,7 @@
 impl Cache {
     /// Where a decode engine fetches it.
     pub(crate) fn source(&self) -> String {
-        engine::source(self.target.address, &self.handle)
+        engine::kv_source(self.target.address, &self.handle)
     }
 
     /// Until when a decode engine can still be sought for it.
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -47,7 +47,7 @@
     fn drop(&mut self) {
         if let Some(hold) = self.hold.take() {
             let (edge, address) = (self.edge.clone(), self.target.address);
-            let request = calls::drop_hold(&hold);
+            let request = calls::release_hold(&hold);
             tokio::spawn(async move { cleanup::send(&edge, address, request).await });
         }
         let mut directory = self.edge.directory();
@@ -152,7 +152,7 @@
 async fn hold(call: &call::Call, room: &mut Room, need: engine::Need) -> Held {
     let Some(life) = hold_life(call) else { return Held::Yes };
     let id = room.target.id.clone();
-    let request = calls::take_hold(&id, need.charge(), life);
+    let request = calls::create_hold(&id, need.charge(), life);
     let asking = exchange::fetch(&call.edge.links, room.target.address, request);
     let asked = tokio::time::timeout(HOLD_LIMIT, asking).await;
     let read = match asked {
