--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -45,7 +45,7 @@
 impl Edge {
     pub(crate) fn new(settings: settings::Settings) -> Edge {
         let directory = directory::Directory::new(&settings.zone, settings.allowance);
-        let store = store::Store::new(client::Client::new(), settings.store);
+        let store = store::Store::new(client::Client::new(), settings.store_addr);
         let (incarnation, dates) = (rand::random(), dates::Dates::new());
         let ledger = usage::Ledger::new(settings.name.clone(), incarnation, dates.now_ms());
         Edge {
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -31,7 +31,7 @@
 
 /// Where the entry at `ip` listens for its peers.
 pub(crate) fn address(edge: &edge::Edge, ip: net::IpAddr) -> net::SocketAddr {
-    let (first, _) = edge.settings().ports;
+    let (first, _) = edge.settings().port_range;
     net::SocketAddr::new(ip, first)
 }
 
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -31,7 +31,9 @@
             }
         }
         Ok(new) => {
-            let is_moved = new.callers != old.callers || new.ready != old.ready || new.ip != old.ip;
+            let is_moved = new.frontend_addr != old.frontend_addr
+                || new.ready_addr != old.ready_addr
+                || new.ip != old.ip;
             if is_moved {
                 tracing::warn!("edge: addresses in the settings changed; restart to use them");
             }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -26,8 +26,8 @@
 /// # Errors
 /// Returns an error if an address cannot be bound or signals cannot be caught.
 pub async fn run(settings: settings::Settings, dropped: logs::Dropped) -> anyhow::Result<()> {
-    let callers = server::bind(settings.callers).await?;
-    let ready = server::bind(settings.ready).await?;
+    let callers = server::bind(settings.frontend_addr).await?;
+    let ready = server::bind(settings.ready_addr).await?;
     let scrapes = server::bind((settings.ip, metrics::PLATFORM_PORT).into()).await?;
     let edge = sync::Arc::new(edge::Edge::new(settings));
     tracing::info!(
