--- a/crates/ctl/src/survey.rs
+++ b/crates/ctl/src/survey.rs
@@ -105,7 +105,7 @@
 
     async fn config_text(&self) -> Result<Vec<u8>, CommandError> {
         let rows = self.store.read_all(store::Table::Operator, LIMIT).await?;
-        let row = rows.rows.into_iter().find(|row| row.key == store::CONFIG);
+        let row = rows.rows.into_iter().find(|row| row.key == store::CONFIG_KEY);
         row.and_then(|row| row.value).ok_or_else(|| {
             CommandError::Input("no config in the store; the operator has to write one".into())
         })
--- a/crates/e2e/tests/platform_reports.rs
+++ b/crates/e2e/tests/platform_reports.rs
@@ -121,8 +121,8 @@
     let limit = time::Duration::from_secs(1);
     let now = clock::unix_ms();
     let mut report = merge::Report::new(now - 3_600_000, now + 3_600_000);
-    for name in records.names(store::USAGE, limit).await? {
-        let content = records.get(&name, limit).await?.unwrap_or_default();
+    for name in records.list_objects(store::USAGE, limit).await? {
+        let content = records.get_object(&name, limit).await?.unwrap_or_default();
         report.add(serde_json::from_slice(&content)?);
     }
     Ok(report.gaps(now + 300_000))
--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/duty.rs
@@ -117,11 +117,11 @@
         value: holder.as_bytes(),
     };
     match edge.store.write(write, CALL_LIMIT).await? {
-        store::Written::Done(fence) => {
+        store::WriteOutcome::Committed(fence) => {
             tracing::info!(fence, "edge: lease to change stages held");
             lease.won(fence, sent_at);
         }
-        store::Written::Refused => lease.lost(),
+        store::WriteOutcome::Conflict => lease.lost(),
     }
     Ok(())
 }
--- a/crates/edge/src/ledger.rs
+++ b/crates/edge/src/ledger.rs
@@ -93,8 +93,8 @@
 
 async fn store(edge: &edge::Edge, record: &usage::Record) -> bool {
     let content = serde_json::json!(record).to_string();
-    let name = store::usage_name(&record.entry, record.incarnation, record.seq);
-    let stored = edge.store.put(&name, content.into(), STORE_LIMIT).await;
+    let name = store::usage_object(&record.entry, record.incarnation, record.seq);
+    let stored = edge.store.put_object(&name, content.into(), STORE_LIMIT).await;
     if let Err(err) = &stored {
         tracing::warn!(name, %err, "edge: usage not stored");
     }
--- a/crates/edge/src/rows.rs
+++ b/crates/edge/src/rows.rs
@@ -31,7 +31,8 @@
 
     fn take_config(&mut self, row: &store::Row) -> bool {
         let is_old = self.config.as_ref().is_some_and(|known| known.version >= row.version);
-        let Some(value) = row.value.clone().filter(|_| !is_old && row.key == store::CONFIG) else {
+        let Some(value) = row.value.clone().filter(|_| !is_old && row.key == store::CONFIG_KEY)
+        else {
             return false;
         };
         self.config = Some(share::Row { key: row.key.clone(), version: row.version, value });
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -88,7 +88,7 @@
     };
     let store = store::Store::new(client::Client::new(), *address);
     for name in names {
-        store.remove(name, LIMIT).await?;
+        store.remove_object(name, LIMIT).await?;
     }
     if !names.is_empty() {
         eprintln!("removed {} records", names.len());
@@ -114,9 +114,9 @@
 async fn read_store(address: net::SocketAddr) -> anyhow::Result<Vec<Stored>> {
     let store = store::Store::new(client::Client::new(), address);
     let mut records = Vec::new();
-    for name in store.names(store::USAGE, LIMIT).await? {
+    for name in store.list_objects(store::USAGE, LIMIT).await? {
         // One that is gone since the names were read was removed on purpose.
-        let Some(content) = store.get(&name, LIMIT).await? else { continue };
+        let Some(content) = store.get_object(&name, LIMIT).await? else { continue };
         records.push(read_record(name, &content)?);
     }
     Ok(records)
