--- a/crates/wire/src/chunk.rs
+++ b/crates/wire/src/chunk.rs
@@ -1,4 +1,7 @@
-//! A piece of an answer; written for each token, so its codec is by hand.
+//! A part of a response body.
+//!
+//! One chunk is sent per token, so serde is implemented by hand to copy the bytes in one call
+//! instead of one by one.
 
 use std::fmt;
 
@@ -6,14 +9,14 @@
 
 use rhubarb_core::ids;
 
-/// Piece of the answer of one run.
+/// Part of the response body of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// Run that the piece belongs to.
+    /// Id of the run.
     pub run: ids::RunId,
-    /// Position of the piece in the answer, in bytes.
+    /// Position of the first byte in the response body.
     pub offset: u64,
-    /// The piece.
+    /// Content.
     pub bytes: Vec<u8>,
 }
 
