--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries and agents: load reports and list versions.
+//! Signed datagrams between entries and agents: load reports and service list versions.
 
 use std::fmt;
 
@@ -8,30 +8,30 @@
 
 use crate::{auth, frame};
 
-/// Largest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_BYTES: usize = 512;
 
-/// Message in a datagram.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Heartbeat {
-    /// An entry asks for the load of a server.
+    /// Request from an entry for the load of a server.
     Follow(Follow),
-    /// The agent's answer.
+    /// Response of the agent.
     Report(Report),
 }
 
-/// Asks for the load of a server.
+/// Request for the load of a server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Follow {
     /// Incarnation of the entry.
     pub incarnation: ids::Incarnation,
-    /// Returned in the report.
+    /// Sequence number, returned in the report.
     pub seq: u64,
-    /// List version in force at the entry.
+    /// Version of the service list that the entry uses.
     pub version: ids::ListVersion,
-    /// Whether the platform says that the server's instance is leaving.
+    /// Whether the platform reports that the server's instance is leaving.
     pub leaving: bool,
-    /// Whether the services that the server's service depends on serve.
+    /// Whether the services that the server's service depends on are ready.
     pub depends_ready: bool,
 }
 
@@ -42,24 +42,24 @@
     pub server: ids::ServerName,
     /// Incarnation of the agent.
     pub incarnation: ids::Incarnation,
-    /// Number of the request for this report.
+    /// Sequence number of the request.
     pub seq: u64,
-    /// List version in force at the agent.
+    /// Version of the service list that the agent uses.
     pub version: ids::ListVersion,
-    /// Load.
+    /// Load of the server.
     pub load: load::Load,
 }
 
-/// Why a datagram is dropped.
+/// Reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
     /// Shorter than a proof or longer than the limit.
     Length,
-    /// Made by another version of the protocol.
+    /// Sent by a peer with another protocol version.
     Version,
     /// Not signed with a shared key.
     Proof,
-    /// Signed, but not a known message.
+    /// Signed with a shared key, but not decodable.
     Malformed,
 }
 
@@ -76,19 +76,19 @@
 
 impl std::error::Error for DatagramError {}
 
-/// Encodes and signs a datagram.
+/// Encodes and signs a heartbeat: protocol version, proof, postcard body.
 pub fn encode(keys: &auth::Keys, heartbeat: &Heartbeat) -> Vec<u8> {
-    let body = postcard::to_allocvec(heartbeat).expect("beats can be encoded");
+    let body = postcard::to_allocvec(heartbeat).expect("heartbeats can be encoded");
     let mut bytes = vec![frame::VERSION];
     bytes.extend(keys.sign(&[b"beat", &body]));
     bytes.extend(body);
     bytes
 }
 
-/// Checks and decodes a datagram.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// Returns why the datagram is to be dropped.
+/// Returns the reason for dropping the datagram.
 pub fn decode(keys: &auth::Keys, bytes: &[u8]) -> Result<Heartbeat, DatagramError> {
     if bytes.len() <= 1 + auth::PROOF_BYTES || bytes.len() > MAX_BYTES {
         return Err(DatagramError::Length);
