--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a TCP connection: length, version, postcard body.
+//! Frames on a TCP connection: big-endian length, protocol version, postcard body.
 
 use std::{fmt, io};
 
@@ -7,21 +7,22 @@
 
 /// Version of the protocol between entries and agents.
 pub const VERSION: u8 = 1;
-/// Largest frame on an authenticated connection, in bytes.
+/// Maximum length of a frame on an authenticated connection, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Largest frame before the peer is authenticated, in bytes.
+/// Maximum length of a frame from a peer that is not authenticated yet, in bytes.
 pub const MAX_HELLO_BYTES: usize = 1024;
 
+// Size of the length field, which doesn't count itself.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a frame cannot be read.
+/// Error in reading a frame.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The connection failed or ended.
+    /// The connection failed or was closed.
     Io(io::Error),
-    /// The frame is longer than allowed.
+    /// The frame has this length in bytes, which is above the limit.
     TooLong(usize),
-    /// The peer speaks another version.
+    /// The peer uses this other protocol version.
     Version(u8),
     /// The body is not the expected message.
     Malformed(postcard::Error),
@@ -62,10 +63,10 @@
     frame
 }
 
-/// Decodes the part of a frame behind its length.
+/// Decodes the part of a frame that follows its length.
 ///
 /// # Errors
-/// Returns an error for another version and for a body that is not an `M`.
+/// Returns an error for another protocol version and for a body that is not an `M`.
 pub fn decode<M: de::DeserializeOwned>(body: &[u8]) -> Result<M, FrameError> {
     match body.split_first() {
         Some((&VERSION, rest)) => postcard::from_bytes(rest).map_err(FrameError::Malformed),
@@ -74,10 +75,11 @@
     }
 }
 
-/// Reads one message of at most `limit` bytes.
+/// Reads one message from a frame of at most `limit` bytes.
 ///
 /// # Errors
-/// Returns an error when the connection ends, and for frames that are too long or malformed.
+/// Returns an error if the connection fails or is closed, and for a frame that is too long, has
+/// another protocol version or is malformed.
 pub async fn read<M, R>(reader: &mut R, limit: usize) -> Result<M, FrameError>
 where
     M: de::DeserializeOwned,
@@ -92,10 +94,10 @@
     decode(&body)
 }
 
-/// Writes one message.
+/// Writes one message as a frame.
 ///
 /// # Errors
-/// Returns an error when the connection fails.
+/// Returns an error if the connection fails.
 pub async fn write<M, W>(writer: &mut W, message: &M) -> Result<(), FrameError>
 where
     M: Serialize,
