--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of rhubarbloom and their framing.
+//! Messages between rhubarbloom processes, their framing and their authentication.
 //!
 //! ```
 //! use rhubarb_wire::{auth, datagram};
