--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -9,120 +9,120 @@
 /// Message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Answers the challenge; the first message of an entry.
+    /// Response to the challenge; the first message that an entry sends.
     Hello(Hello),
-    /// Runs a plain call.
+    /// Runs a plain request.
     Offer(offer::Offer),
-    /// Reserves decode room.
+    /// Reserves a decode slot.
     Reserve(Reserve),
     /// Prefills a prompt.
     Prefill(Prefill),
-    /// Decodes a prefilled prompt in the reserved room.
+    /// Decodes a prefilled prompt in the reserved slot.
     Decode(Decode),
-    /// Frees whatever the run holds; nobody waits for its answer any more.
+    /// Cancels a run whose caller no longer waits, and frees its resources.
     Cancel(ids::RunId),
-    /// Takes up a run again on a new connection; one that did not start is refused for good.
+    /// Resumes a run on a new connection; a run that never started is refused and stays refused.
     Resume(Resume),
-    /// Asks for a sign of life.
+    /// Checks that the agent responds.
     Ping(Ping),
-    /// Asks for what the agent's service list has beyond a version.
+    /// Requests the changes in the agent's service list since a version.
     WantList(ids::ListVersion),
-    /// Passes a service list on.
+    /// Sends a service list.
     List(ListCopy),
 }
 
 /// Message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Opens the connection.
+    /// First message on a connection.
     Challenge(Challenge),
-    /// Accepts the entry.
+    /// Accepts the entry after its hello.
     Welcome(Welcome),
-    /// The room is reserved.
+    /// The slot is reserved.
     Reserved(ids::RunId),
-    /// The prefill ended.
+    /// The prefill completed.
     Prefilled(Prefilled),
-    /// The run is refused or has failed.
+    /// The run was refused or failed.
     Refused(Refused),
-    /// Start of the answer.
+    /// Status and headers of the response.
     Head(Head),
-    /// Piece of the answer.
+    /// Part of the response body.
     Chunk(chunk::Chunk),
-    /// End of the answer.
+    /// End of the response.
     End(End),
-    /// Answers a ping.
+    /// Response to a ping.
     Pong(Pong),
-    /// Asks for what the entry's service list has beyond a version.
+    /// Requests the changes in the entry's service list since a version.
     WantList(ids::ListVersion),
-    /// Passes a service list on.
+    /// Sends a service list.
     List(ListCopy),
 }
 
-/// Opens a connection.
+/// First message of an agent on a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Challenge {
     /// Server beside which the agent runs.
     pub server: ids::ServerName,
     /// Incarnation of the agent.
     pub incarnation: ids::Incarnation,
-    /// To be signed by the entry.
+    /// Nonce that the entry signs.
     pub nonce: auth::Nonce,
 }
 
-/// Answers a challenge.
+/// Response to a challenge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// Name of the entry instance.
     pub entry: String,
     /// Incarnation of the entry.
     pub incarnation: ids::Incarnation,
-    /// To be signed by the agent.
+    /// Nonce that the agent signs.
     pub nonce: auth::Nonce,
     /// Proof over the challenge and this message.
     pub proof: auth::Proof,
 }
 
-/// Accepts an entry.
+/// Accepts an entry and proves that the agent holds a shared key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// Proof over the entry's nonce.
+    /// Proof over the nonce and the proof of the entry's hello.
     pub proof: auth::Proof,
     /// State of the agent.
     pub pong: Pong,
 }
 
-/// Asks for a sign of life.
+/// Checks that the agent responds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ping {
-    /// Returned in the pong.
+    /// Sequence number, returned in the pong.
     pub seq: u64,
-    /// List version in force at the entry.
+    /// Version of the service list that the entry uses.
     pub version: ids::ListVersion,
 }
 
-/// Sign of life.
+/// Response to a ping.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pong {
-    /// Number of the ping.
+    /// Sequence number of the ping.
     pub seq: u64,
     /// Milliseconds since the agent started.
     pub clock_ms: u64,
-    /// List version in force at the agent.
+    /// Version of the service list that the agent uses.
     pub version: ids::ListVersion,
     /// Load of the server.
     pub load: load::Load,
 }
 
-/// Reserves decode room.
+/// Reserves a decode slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reserve {
     /// Id of the attempt.
     pub run: ids::RunId,
     /// Idempotency key, if the request has one.
     pub key: Option<ids::KeyHash>,
-    /// Last moment at which the room is of use, in milliseconds of the agent's clock.
+    /// Deadline for the reservation, in milliseconds of the agent's clock.
     pub wait_by_ms: u64,
-    /// Last moment to start, in milliseconds of the agent's clock.
+    /// Latest start of the decode, in milliseconds of the agent's clock.
     pub start_by_ms: u64,
     /// Whether the caller is above its fair share.
     pub excess: bool,
@@ -133,11 +133,11 @@
 pub struct Prefill {
     /// Id of the attempt.
     pub run: ids::RunId,
-    /// Last moment to start, in milliseconds of the agent's clock.
+    /// Latest start of the prefill, in milliseconds of the agent's clock.
     pub start_by_ms: u64,
     /// When the first token is due, in milliseconds of the agent's clock.
     pub due_ms: u64,
-    /// Longest wait in the agent's queue of a prompt that cannot be in time, in milliseconds.
+    /// Longest wait in the agent's queue for a prompt that cannot meet `due_ms`, in milliseconds.
     pub max_wait_ms: u64,
     /// Time allowed after the start, in milliseconds.
     pub limit_ms: u64,
@@ -150,32 +150,32 @@
 /// Decodes a prefilled prompt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decode {
-    /// Id of the attempt that reserved the room.
+    /// Id of the attempt that reserved the slot.
     pub run: ids::RunId,
-    /// Time allowed for the whole answer, in milliseconds.
+    /// Time allowed for the whole response, in milliseconds.
     pub limit_ms: u64,
     /// URL of the engine that holds the prefill result.
     pub source: String,
-    /// Name of the prefill result at that engine.
+    /// Handle of the prefill result at that engine.
     pub handle: String,
     /// Prompt.
     pub prompt: String,
-    /// Tokens of the prompt, which the agent keeps with the answer.
+    /// Number of prompt tokens, which the agent stores with the response.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Tokens that the caller already has.
+    /// Number of tokens that the caller has already received.
     pub skip: u32,
-    /// Idempotency key as the caller wrote it, for the engine's own records.
+    /// Idempotency key as the caller sent it, for the engine's own records.
     pub key: Option<String>,
 }
 
-/// Takes up a run again.
+/// Resumes a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resume {
     /// Id of the attempt.
     pub run: ids::RunId,
-    /// Bytes of the answer received so far.
+    /// Number of response bytes received so far.
     pub offset: u64,
 }
 
@@ -186,11 +186,11 @@
     pub run: ids::RunId,
     /// URL of the engine that holds the result.
     pub source: String,
-    /// Name of the result.
+    /// Handle of the result.
     pub handle: String,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub tokens: u32,
-    /// Work that the prefill was, in microseconds.
+    /// Prefill work done, in microseconds.
     pub work_us: u64,
 }
 
@@ -203,7 +203,7 @@
     pub refusal: outcome::Refusal,
 }
 
-/// Start of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// Id of the attempt.
@@ -214,53 +214,53 @@
     pub headers: Vec<offer::Header>,
 }
 
-/// Header of a decode's answer that tells the tokens of its prompt.
+/// Header of a decode response that holds the number of prompt tokens.
 const PROMPT_TOKENS: &str = "prompt-tokens";
 
-/// Writes the header with the tokens of a prompt.
+/// Creates the header that holds the number of prompt tokens.
 pub fn prompt_tokens_header(tokens: u32) -> offer::Header {
     offer::Header { name: PROMPT_TOKENS.to_string(), value: tokens.to_string().into_bytes() }
 }
 
 impl Head {
-    /// Tokens of the prompt of a decode's answer.
+    /// Number of prompt tokens in the head of a decode response.
     pub fn prompt_tokens(&self) -> Option<u32> {
         let header = self.headers.iter().find(|header| header.name == PROMPT_TOKENS)?;
         std::str::from_utf8(&header.value).ok()?.parse().ok()
     }
 }
 
-/// End of an answer.
+/// End of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
     /// Id of the attempt.
     pub run: ids::RunId,
-    /// Length of the whole answer in bytes.
+    /// Length of the whole response body in bytes.
     pub length: u64,
 }
 
-/// A service list on its way between processes.
+/// Service list, or changes to it, sent between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListCopy {
-    /// Version of the row, or the one that the first change makes.
+    /// Version of the row, or the version that the first change produces.
     pub version: ids::ListVersion,
-    /// What is passed on.
+    /// List or changes.
     pub body: ListBody,
-    /// Last instance list that the sender read, in JSON.
+    /// Latest instance list that the sender has read, in JSON.
     pub instances: String,
 }
 
-/// A whole list, or what changed in it.
+/// A complete service list or changes to one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ListBody {
-    /// Content of the list's row in the table.
+    /// Content of the list's row in the table store.
     Row(String),
-    /// Changes in order.
+    /// Changes in version order.
     Changes(Vec<String>),
 }
 
 impl Hello {
-    /// Signs a hello in answer to `challenge`.
+    /// Creates a signed hello for `challenge`.
     pub fn sign(
         keys: &auth::Keys,
         challenge: &Challenge,
@@ -269,28 +269,32 @@
         nonce: auth::Nonce,
     ) -> Hello {
         let mut hello = Hello { entry: entry.to_string(), incarnation, nonce, proof: [0; 16] };
-        hello.proof = keys.sign(&hello.parts(challenge, &incarnation.to_be_bytes()));
+        hello.proof = keys.sign(&hello.signed_parts(challenge, &incarnation.to_be_bytes()));
         hello
     }
 
-    /// Whether the sender holds a shared key and answers `challenge`.
+    /// Whether the hello is signed with a shared key and belongs to `challenge`.
     pub fn is_signed(&self, keys: &auth::Keys, challenge: &Challenge) -> bool {
-        keys.verify(&self.parts(challenge, &self.incarnation.to_be_bytes()), &self.proof)
+        keys.verify(&self.signed_parts(challenge, &self.incarnation.to_be_bytes()), &self.proof)
     }
 
-    fn parts<'a>(&'a self, challenge: &'a Challenge, incarnation: &'a [u8]) -> [&'a [u8]; 6] {
+    fn signed_parts<'a>(
+        &'a self,
+        challenge: &'a Challenge,
+        incarnation: &'a [u8],
+    ) -> [&'a [u8]; 6] {
         let server = challenge.server.as_bytes();
         [b"hello", &challenge.nonce, server, self.entry.as_bytes(), incarnation, &self.nonce]
     }
 }
 
 impl Welcome {
-    /// Signs a welcome for `hello`.
+    /// Creates a signed welcome for `hello`.
     pub fn sign(keys: &auth::Keys, hello: &Hello, pong: Pong) -> Welcome {
         Welcome { proof: keys.sign(&[b"welcome", &hello.nonce, &hello.proof]), pong }
     }
 
-    /// Whether the sender holds a shared key and answers `hello`.
+    /// Whether the welcome is signed with a shared key and belongs to `hello`.
     pub fn is_signed(&self, keys: &auth::Keys, hello: &Hello) -> bool {
         keys.verify(&[b"welcome", &hello.nonce, &hello.proof], &self.proof)
     }
