--- a/crates/wire/src/offer.rs
+++ b/crates/wire/src/offer.rs
@@ -1,4 +1,6 @@
-//! A plain call offered to an agent; sent for each plain request, so its codec is by hand.
+//! A plain request offered to an agent.
+//!
+//! One offer is sent per plain request, so serde is implemented by hand.
 
 use std::fmt;
 
@@ -15,16 +17,16 @@
     pub value: Vec<u8>,
 }
 
-/// A plain call.
+/// A plain request, which the agent may refuse.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
     /// Id of the attempt.
     pub run: ids::RunId,
-    /// Idempotency key, if the call has one.
+    /// Hash of the idempotency key, if the request has one.
     pub key: Option<ids::KeyHash>,
-    /// Last moment to start, in milliseconds of the agent's clock.
+    /// Latest start, in milliseconds of the agent's clock.
     pub start_by_ms: u64,
-    /// Time allowed for the whole answer after the start, in milliseconds.
+    /// Time allowed from the start to the end of the response, in milliseconds.
     pub limit_ms: u64,
     /// Whether the caller is above its fair share.
     pub excess: bool,
