--- a/crates/wire/src/share.rs
+++ b/crates/wire/src/share.rs
@@ -1,5 +1,5 @@
-//! What entries tell one another: commitments at engines by datagram, and what the platform's
-//! store said by TCP, for those that it turns away.
+//! State that entries send to each other: commitments at engines, by datagram, and snapshots of
+//! the platform's store, by TCP, for entries that the store rejects.
 
 use std::{collections, net, time};
 
@@ -7,50 +7,50 @@
 
 use rhubarb_core::{engine, ids, stages};
 
-/// Most bytes of one datagram: what fits into one packet.
+/// Maximum size of a datagram, in bytes; fits into one packet.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Most bytes of a snapshot.
+/// Maximum size of a snapshot, in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
-/// State of one entry, sent to its peers.
+/// State of one entry, which it sends to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Name of the sender.
+    /// Name of the sending instance.
     pub name: String,
-    /// Random number of the sender's process.
+    /// Random number that identifies the sender's process.
     pub incarnation: ids::Incarnation,
-    /// Grows with each datagram of that process.
+    /// Sequence number, which increases with each datagram of that process.
     pub seq: u64,
-    /// Version of the config in force at the sender.
+    /// Version of the config that the sender uses.
     pub config: ids::ListVersion,
-    /// Store version up to which the sender knows the servers.
+    /// Store version of the newest change to a server that the sender has seen.
     pub servers: u64,
-    /// Instances that the sender has heard of lately.
+    /// Instances that the sender considers alive, or a part of them.
     pub peers: Vec<net::IpAddr>,
-    /// What the sender has given to engines; those with nothing are left out.
+    /// Commitments of the sender; engines without one are omitted.
     #[serde(rename = "given")]
     pub committed: Vec<EngineCommitment>,
-    /// Engine time that the sender's requests have taken, by service.
+    /// Engine time used by the sender's requests, by service.
     pub usage: collections::BTreeMap<ids::ServiceName, stages::Usage>,
-    /// Engines that the sender has ordered to change their stage.
+    /// Engines whose stage the sender has ordered to change.
     pub changing: Vec<ids::ServerName>,
 }
 
-/// Work that the sender has given to one engine.
+/// Commitment of the sender to one engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCommitment {
-    /// Engine.
+    /// Server that runs the engine.
     pub server: ids::ServerName,
-    /// Memory that is expected to be taken, in tokens.
+    /// Expected memory use, in tokens.
     pub tokens: u32,
-    /// Requests.
+    /// Number of runs.
     pub runs: u32,
-    /// Prefill work that is left, in milliseconds.
+    /// Remaining prefill work, in milliseconds.
     pub prefill_ms: u32,
 }
 
 impl EngineCommitment {
-    /// Writes a commitment.
+    /// Converts a commitment for sending.
     pub fn new(server: &str, commitment: &engine::Commitment) -> EngineCommitment {
         EngineCommitment {
             server: server.to_string(),
@@ -75,7 +75,10 @@
         self.committed.iter().map(|engine| (engine.server.clone(), engine.commitment())).collect()
     }
 
-    /// Writes the datagram; engines that do not fit are left out.
+    /// Encodes the datagram. Commitments are removed from the end of the list until it fits.
+    ///
+    /// # Errors
+    /// Returns an error if the state cannot be encoded.
     pub fn encode(&mut self) -> Result<Vec<u8>, postcard::Error> {
         loop {
             let bytes = postcard::to_allocvec(self)?;
@@ -85,16 +88,16 @@
         }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// Returns an error for bytes that are not one.
+    /// Returns an error if the bytes are not a valid datagram.
     pub fn decode(bytes: &[u8]) -> Result<Share, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
 
-/// One row as the store gave it.
+/// One row as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Key.
@@ -105,39 +108,42 @@
     pub value: Vec<u8>,
 }
 
-/// What the store said, for a peer that it turns away.
+/// Rows of the store, for a peer that the store rejects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The operator's config.
+    /// Row of the operator's config.
     pub config: Option<Row>,
-    /// All servers' entries.
+    /// Rows of all servers.
     pub servers: Vec<Row>,
-    /// Servers without an entry that the sender still counts on.
+    /// Servers without a row whose return the sender still waits for.
     pub awaited: Vec<AwaitedServer>,
-    /// Store version up to which the servers are known.
+    /// Store version of the rows of servers.
     pub version: u64,
 }
 
-/// A server whose entry vanished around an outage of the store.
+/// A server whose row disappeared around an outage of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AwaitedServer {
-    /// Key of its entry.
+    /// Key of its row.
     pub key: ids::ServerName,
-    /// Time for which the entry may still return.
+    /// Time until the server counts as removed.
     #[serde(rename = "left")]
     pub remaining: time::Duration,
 }
 
 impl Snapshot {
-    /// Writes the snapshot.
+    /// Encodes the snapshot.
+    ///
+    /// # Errors
+    /// Returns an error if the snapshot cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// Returns an error for bytes that are not one.
+    /// Returns an error if the bytes are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
         postcard::from_bytes(bytes)
     }
