--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Malformed, cut, foreign and forged messages are refused without a panic.
+//! Malformed, truncated and forged messages, and those of other protocol versions, are rejected
+//! without a panic.
 
 #[path = "../../core/tests/random/mod.rs"]
 mod random;
@@ -58,17 +59,17 @@
 }
 
 #[test]
-fn cut_short() {
+fn truncated_frame() {
     for message in to_entry() {
         let bytes = frame::encode(&message);
-        for cut in 4..bytes.len() {
-            assert!(frame::decode::<message::ToEntry>(&bytes[4..cut]).is_err(), "cut at {cut}");
+        for end in 4..bytes.len() {
+            assert!(frame::decode::<message::ToEntry>(&bytes[4..end]).is_err(), "end at {end}");
         }
     }
 }
 
 #[test]
-fn other_version() {
+fn protocol_version() {
     let mut bytes = frame::encode(&message::ToAgent::WantList(7));
     bytes[4] = frame::VERSION + 1;
     let err = frame::decode::<message::ToAgent>(&bytes[4..]).unwrap_err();
@@ -76,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn too_long() {
+async fn frame_too_long() {
     let bytes = u32::MAX.to_be_bytes();
     let read = frame::read::<message::ToAgent, _>(&mut &bytes[..], frame::MAX_FRAME_BYTES).await;
     assert!(matches!(read, Err(frame::FrameError::TooLong(_))));
@@ -86,8 +87,8 @@
 fn forged_datagram() {
     let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
     let bytes = datagram::encode(&keys("the right shared key"), &heartbeat);
-    let refused = datagram::decode(&keys("some other shared key"), &bytes);
-    assert_eq!(refused, Err(datagram::DatagramError::Proof));
+    let rejected = datagram::decode(&keys("some other shared key"), &bytes);
+    assert_eq!(rejected, Err(datagram::DatagramError::Proof));
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
@@ -104,14 +105,14 @@
     assert!(datagram::decode(&both, &datagram::encode(&old, &heartbeat)).is_ok());
     assert!(
         datagram::decode(&old, &datagram::encode(&both, &heartbeat)).is_err(),
-        "give both keys first"
+        "a peer with the old key alone rejects the new key"
     );
     assert!(auth::Keys::new(vec!["short".into()]).is_none());
     assert!(auth::Keys::new(Vec::new()).is_none());
 }
 
 #[test]
-fn hello_bound() {
+fn replayed_hello() {
     let keys = keys("the right shared key");
     let challenge = message::Challenge { server: "yard-1".into(), incarnation: 1, nonce: [1; 16] };
     let hello = message::Hello::sign(&keys, &challenge, "entry-1", 2, [2; 16]);
@@ -139,7 +140,7 @@
     }
 
     #[test]
-    fn random_changes(at in 0..200usize, byte in any::<u8>(), pick in 0..5usize) {
+    fn changed_byte(at in 0..200usize, byte in any::<u8>(), pick in 0..5usize) {
         let mut bytes = frame::encode(&to_agent()[pick]);
         let length = bytes.len();
         bytes[4 + at % (length - 4)] = byte;
