--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -16,7 +16,8 @@
 /// Random bytes that bind a proof to one connection.
 pub type Nonce = [u8; 16];
 
-/// Shared keys. The first one signs and all of them verify, so that keys can be rotated.
+/// Shared keys. The first one signs and all of them verify, so that keys can be rotated: every
+/// process needs both keys before one of them signs with the new key.
 #[derive(Clone)]
 pub struct Keys {
     keys: Vec<String>,
