--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -66,10 +66,18 @@
 impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DatagramError::Length => "datagram of a wrong length; check who sends to this port",
-            DatagramError::Version => "datagram of another version; upgrade the older peer",
-            DatagramError::Proof => "datagram without a valid proof; give all the same shared keys",
-            DatagramError::Malformed => "malformed datagram; run the same release everywhere",
+            DatagramError::Length => {
+                "datagram has an invalid length; check which process sends to this port"
+            }
+            DatagramError::Version => {
+                "datagram has another protocol version; upgrade the older peer"
+            }
+            DatagramError::Proof => {
+                "datagram has no valid proof; configure the same shared keys everywhere"
+            }
+            DatagramError::Malformed => {
+                "datagram cannot be decoded; run the same release everywhere"
+            }
         })
     }
 }
