--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -33,7 +33,7 @@
         match self {
             FrameError::Io(err) => write!(f, "connection failed: {err}; it is opened again"),
             FrameError::TooLong(bytes) => {
-                write!(f, "frame of {bytes} bytes; check that the peer is rhubarbloom")
+                write!(f, "frame of {bytes} bytes is too long; check that the peer is rhubarbloom")
             }
             FrameError::Version(version) => {
                 write!(f, "protocol version {version} instead of {VERSION}; upgrade the older peer")
