--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, ids, outcome, pool};
 use rhubarb_node::{clock, metrics, responder};
-use rhubarb_platform::{answer as forms, engine, request};
+use rhubarb_platform::{engine, request, response as forms};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -26,7 +26,7 @@
 impl Cache {
     /// Where a decode engine fetches it.
     pub(crate) fn source(&self) -> String {
-        engine::source(self.target.address, &self.handle)
+        engine::kv_source(self.target.address, &self.handle)
     }
 
     /// Until when a decode engine can still be sought for it.
@@ -115,10 +115,10 @@
         return Read::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON));
     };
     let deadline = call.deadline.min(clock::now() + expected * 2 + SLACK);
-    let send = request::Send {
-        expect: &target.id,
-        left: deadline.saturating_duration_since(clock::now()),
-        ..request::Send::default()
+    let send = request::ServerHeaders {
+        server: &target.id,
+        time_left: deadline.saturating_duration_since(clock::now()),
+        ..request::ServerHeaders::default()
     };
     let request = call.head.to_prefill(&send, call.body.clone());
     let started = clock::now();
@@ -199,11 +199,11 @@
     target: &directory::Target,
     read: &exchange::Read,
 ) -> Result<engine::Prefilled, Refusal> {
-    let proof = forms::judge(&read.head, call.head.attempt.as_ref());
+    let proof = forms::classify(&read.head, call.head.attempt.as_ref());
     match proof {
-        forms::Proof::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
-        forms::Proof::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
-        forms::Proof::Genuine | forms::Proof::Foreign => {
+        forms::HeadClass::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
+        forms::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
+        forms::HeadClass::Valid | forms::HeadClass::Invalid => {
             let body = read.body.as_ref().filter(|_| read.is_success());
             let parsed = body.map(|body| engine::read_prefilled(body));
             match parsed {
--- a/crates/edge/src/rows.rs
+++ b/crates/edge/src/rows.rs
@@ -31,7 +31,8 @@
 
     fn take_config(&mut self, row: &store::Row) -> bool {
         let is_old = self.config.as_ref().is_some_and(|known| known.version >= row.version);
-        let Some(value) = row.value.clone().filter(|_| !is_old && row.key == store::CONFIG) else {
+        let Some(value) = row.value.clone().filter(|_| !is_old && row.key == store::CONFIG_KEY)
+        else {
             return false;
         };
         self.config = Some(share::Row { key: row.key.clone(), version: row.version, value });
@@ -72,7 +73,7 @@
     }
 
     /// All that is known, for a peer, with the servers that are waited for.
-    pub(crate) fn snapshot(&self, awaited: Vec<share::Awaited>) -> share::Snapshot {
+    pub(crate) fn snapshot(&self, awaited: Vec<share::AwaitedServer>) -> share::Snapshot {
         share::Snapshot {
             config: self.config.clone(),
             servers: self.servers.values().cloned().collect(),
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Malformed, cut, foreign and forged messages are refused without a panic.
+//! Malformed, truncated and forged messages, and those of other protocol versions, are rejected
+//! without a panic.
 
 #[path = "../../core/tests/random/mod.rs"]
 mod random;
@@ -12,10 +13,10 @@
     auth::Keys::new(vec![key.to_string()]).unwrap()
 }
 
-fn orders() -> Vec<message::Order> {
+fn to_agent() -> Vec<message::ToAgent> {
     let run = ids::run_id(7, 9);
     vec![
-        message::Order::Offer(offer::Offer {
+        message::ToAgent::Offer(offer::Offer {
             run,
             key: Some(3),
             start_by_ms: 5,
@@ -26,72 +27,72 @@
             headers: vec![offer::Header { name: "a".into(), value: vec![0xff] }],
             body: b"body".to_vec(),
         }),
-        message::Order::Resume(message::Resume { run, offset: u64::MAX }),
-        message::Order::Cancel(run),
-        message::Order::Ping(message::Ping { seq: 1, version: 2 }),
-        message::Order::WantList(7),
+        message::ToAgent::Resume(message::Resume { run, offset: u64::MAX }),
+        message::ToAgent::Cancel(run),
+        message::ToAgent::Ping(message::Ping { seq: 1, version: 2 }),
+        message::ToAgent::WantList(7),
     ]
 }
 
-fn notices() -> Vec<message::Notice> {
+fn to_entry() -> Vec<message::ToEntry> {
     let run = ids::run_id(7, 9);
     let refusal = outcome::Refusal::never(outcome::Reason::NoRoom);
     let load = load::Load { rooms: 20, held: 3, waiting: 1, queue_ms: 9, leaving: true };
     vec![
-        message::Notice::Chunk(chunk::Chunk { run, offset: 3, bytes: b"piece".to_vec() }),
-        message::Notice::Refused(message::Refused { run, refusal }),
-        message::Notice::Pong(message::Pong { seq: 1, clock_ms: 2, version: 3, load }),
-        message::Notice::End(message::End { run, length: 8 }),
+        message::ToEntry::Chunk(chunk::Chunk { run, offset: 3, bytes: b"piece".to_vec() }),
+        message::ToEntry::Refused(message::Refused { run, refusal }),
+        message::ToEntry::Pong(message::Pong { seq: 1, clock_ms: 2, version: 3, load }),
+        message::ToEntry::End(message::End { run, length: 8 }),
     ]
 }
 
 #[test]
 fn round_trip() {
-    for order in orders() {
-        let bytes = frame::encode(&order);
-        assert_eq!(frame::decode::<message::Order>(&bytes[4..]).unwrap(), order);
+    for message in to_agent() {
+        let bytes = frame::encode(&message);
+        assert_eq!(frame::decode::<message::ToAgent>(&bytes[4..]).unwrap(), message);
     }
-    for notice in notices() {
-        let bytes = frame::encode(&notice);
-        assert_eq!(frame::decode::<message::Notice>(&bytes[4..]).unwrap(), notice);
+    for message in to_entry() {
+        let bytes = frame::encode(&message);
+        assert_eq!(frame::decode::<message::ToEntry>(&bytes[4..]).unwrap(), message);
     }
 }
 
 #[test]
-fn cut_short() {
-    for notice in notices() {
-        let bytes = frame::encode(&notice);
-        for cut in 4..bytes.len() {
-            assert!(frame::decode::<message::Notice>(&bytes[4..cut]).is_err(), "cut at {cut}");
+fn truncated_frame() {
+    for message in to_entry() {
+        let bytes = frame::encode(&message);
+        for end in 4..bytes.len() {
+            assert!(frame::decode::<message::ToEntry>(&bytes[4..end]).is_err(), "end at {end}");
         }
     }
 }
 
 #[test]
-fn other_version() {
-    let mut bytes = frame::encode(&message::Order::WantList(7));
+fn protocol_version() {
+    let mut bytes = frame::encode(&message::ToAgent::WantList(7));
     bytes[4] = frame::VERSION + 1;
-    let err = frame::decode::<message::Order>(&bytes[4..]).unwrap_err();
+    let err = frame::decode::<message::ToAgent>(&bytes[4..]).unwrap_err();
     assert!(err.to_string().contains("upgrade the older peer"), "{err}");
 }
 
 #[tokio::test]
-async fn too_long() {
+async fn frame_too_long() {
     let bytes = u32::MAX.to_be_bytes();
-    let read = frame::read::<message::Order, _>(&mut &bytes[..], frame::MAX_FRAME_BYTES).await;
+    let read = frame::read::<message::ToAgent, _>(&mut &bytes[..], frame::MAX_FRAME_BYTES).await;
     assert!(matches!(read, Err(frame::FrameError::TooLong(_))));
 }
 
 #[test]
 fn forged_datagram() {
-    let beat = datagram::Beat::Follow(datagram::Follow::default());
-    let bytes = datagram::seal(&keys("the right shared key"), &beat);
-    let refused = datagram::open(&keys("some other shared key"), &bytes);
-    assert_eq!(refused, Err(datagram::DatagramError::Proof));
+    let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
+    let bytes = datagram::encode(&keys("the right shared key"), &heartbeat);
+    let rejected = datagram::decode(&keys("some other shared key"), &bytes);
+    assert_eq!(rejected, Err(datagram::DatagramError::Proof));
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(datagram::open(&keys("the right shared key"), &changed).is_err(), "byte {at}");
+        assert!(datagram::decode(&keys("the right shared key"), &changed).is_err(), "byte {at}");
     }
 }
 
@@ -100,15 +101,18 @@
     let old = keys("the older shared key");
     let both = vec!["the newer shared key".to_string(), "the older shared key".to_string()];
     let both = auth::Keys::new(both).unwrap();
-    let beat = datagram::Beat::Follow(datagram::Follow::default());
-    assert!(datagram::open(&both, &datagram::seal(&old, &beat)).is_ok());
-    assert!(datagram::open(&old, &datagram::seal(&both, &beat)).is_err(), "give both keys first");
+    let heartbeat = datagram::Heartbeat::Follow(datagram::Follow::default());
+    assert!(datagram::decode(&both, &datagram::encode(&old, &heartbeat)).is_ok());
+    assert!(
+        datagram::decode(&old, &datagram::encode(&both, &heartbeat)).is_err(),
+        "a peer with the old key alone rejects the new key"
+    );
     assert!(auth::Keys::new(vec!["short".into()]).is_none());
     assert!(auth::Keys::new(Vec::new()).is_none());
 }
 
 #[test]
-fn hello_bound() {
+fn replayed_hello() {
     let keys = keys("the right shared key");
     let challenge = message::Challenge { server: "yard-1".into(), incarnation: 1, nonce: [1; 16] };
     let hello = message::Hello::sign(&keys, &challenge, "entry-1", 2, [2; 16]);
@@ -130,16 +134,16 @@
     fn random_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut framed = vec![frame::VERSION];
         framed.extend(&bytes);
-        let _ = frame::decode::<message::Order>(&framed);
-        let _ = frame::decode::<message::Notice>(&framed);
-        prop_assert!(datagram::open(&keys("the right shared key"), &bytes).is_err());
+        let _ = frame::decode::<message::ToAgent>(&framed);
+        let _ = frame::decode::<message::ToEntry>(&framed);
+        prop_assert!(datagram::decode(&keys("the right shared key"), &bytes).is_err());
     }
 
     #[test]
-    fn random_changes(at in 0..200usize, byte in any::<u8>(), pick in 0..5usize) {
-        let mut bytes = frame::encode(&orders()[pick]);
+    fn changed_byte(at in 0..200usize, byte in any::<u8>(), pick in 0..5usize) {
+        let mut bytes = frame::encode(&to_agent()[pick]);
         let length = bytes.len();
         bytes[4 + at % (length - 4)] = byte;
-        let _ = frame::decode::<message::Order>(&bytes[4..]);
+        let _ = frame::decode::<message::ToAgent>(&bytes[4..]);
     }
 }
