--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -258,7 +258,7 @@
         let score = |name: &ids::ServerName| self.score(name, wish.by_work, now);
         let best = if score(second) < score(first) { second } else { first };
         let Some(prefix) = wish.affinity else { return Some(best.clone()) };
-        let liked = crate::home::rank(prefix, usable.iter().copied()).into_iter().next()?;
+        let liked = crate::owner::rank(prefix, usable.iter().copied()).into_iter().next()?;
         let is_near = score(liked) <= score(best) + AFFINITY_SLACK;
         Some(if is_near { liked.clone() } else { best.clone() })
     }
--- a/crates/core/src/trust.rs
+++ b/crates/core/src/trust.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::{home, ids, outcome};
+use crate::{ids, outcome, owner};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Trust {
     server: ids::ServerName,
-    members: home::Members,
+    members: owner::Members,
     // Keys may have run out of this server's sight until then.
     unsure_until: Option<time::Instant>,
     ticked: time::Instant,
@@ -23,7 +23,7 @@
     pub fn new(server: ids::ServerName, now: time::Instant) -> Trust {
         Trust {
             server,
-            members: home::Members::default(),
+            members: owner::Members::default(),
             unsure_until: Some(now),
             ticked: now,
             seen_live: false,
@@ -54,7 +54,7 @@
         now: time::Instant,
     ) {
         if ago < window {
-            self.members.note_removed(server, now.checked_sub(ago).unwrap_or(now));
+            self.members.record_removal(server, now.checked_sub(ago).unwrap_or(now));
         }
     }
 
@@ -101,10 +101,10 @@
         if !held_back.is_zero() {
             return Some(Refusal::unknown(Reason::KeyUncertain, held_back));
         }
-        match self.members.standing(key, &self.server, window, now) {
-            home::Standing::Home => None,
-            home::Standing::Elsewhere => Some(Refusal::unknown(Reason::WrongHome, RETRY_SOON)),
-            home::Standing::HeldUntil(until) => {
+        match self.members.ownership(key, &self.server, window, now) {
+            owner::Ownership::Owner => None,
+            owner::Ownership::NotOwner => Some(Refusal::unknown(Reason::WrongHome, RETRY_SOON)),
+            owner::Ownership::HeldUntil(until) => {
                 Some(Refusal::unknown(Reason::KeyUncertain, until - now))
             }
         }
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -29,7 +29,7 @@
 /// A key that ranks the servers in the order of `wanted`.
 fn key_for(wanted: &[&str]) -> u128 {
     let servers = names(wanted.len());
-    let is_wanted = |key: &u128| rhubarb_core::home::rank(*key, &servers) == wanted;
+    let is_wanted = |key: &u128| rhubarb_core::owner::rank(*key, &servers) == wanted;
     (0..).find(is_wanted).unwrap()
 }
 
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 
-use rhubarb_core::{gate, handover, home, ids, outcome};
+use rhubarb_core::{gate, handover, ids, outcome, owner};
 
 const WINDOW: time::Duration = time::Duration::from_secs(100);
 const DEADLINE: time::Duration = time::Duration::from_secs(20);
@@ -69,7 +69,7 @@
     now: time::Instant,
     servers: Vec<Server>,
     listed: [bool; 3],
-    entries: Vec<home::Members>,
+    entries: Vec<owner::Members>,
     mail: Vec<Mail>,
     accepted: Vec<Mail>,
     started: Vec<Mail>,
@@ -99,7 +99,7 @@
             now,
             servers: servers.collect(),
             listed: [true; 3],
-            entries: vec![home::Members::default(); 2],
+            entries: vec![owner::Members::default(); 2],
             mail: Vec::new(),
             accepted: Vec::new(),
             started: Vec::new(),
@@ -145,8 +145,8 @@
         if self.now + DEADLINE > first + WINDOW {
             return;
         }
-        let Some(home) = self.entries[entry].home(key) else { return };
-        let server = NAMES.iter().position(|name| name == home).unwrap();
+        let Some(owner) = self.entries[entry].owner(key) else { return };
+        let server = NAMES.iter().position(|name| name == owner).unwrap();
         self.next_run += 1;
         let run = ids::run_id(entry as u64, self.next_run);
         let start_by = self.now + DEADLINE;
@@ -329,7 +329,7 @@
     world.crash(dead);
     world.restart(dead);
     let members = world.entries[0].clone();
-    let is_dead = |key: &u128| members.home(*key).unwrap() == NAMES[dead];
+    let is_dead = |key: &u128| members.owner(*key).unwrap() == NAMES[dead];
     for key in 0..KEYS {
         world.call(0, key);
         world.deliver(0);
--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -381,7 +381,7 @@
         let servers = if service == "yard-app" { &PLAINS[..] } else { &ENGINES[2..] };
         let names: Vec<String> = servers.iter().map(|name| name.to_string()).collect();
         let hash = rhubarb_core::ids::key_hash(service, "broker-south", key);
-        rhubarb_core::home::rank(hash, &names)[0].clone()
+        rhubarb_core::owner::rank(hash, &names)[0].clone()
     }
 
     /// A key whose home is `server`; `salt` tells apart the keys of one test.
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,7 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, editions, fair, home, ids, list, load, pace, pool, subset};
+use rhubarb_core::{budget, editions, fair, ids, list, load, owner, pace, pool, subset};
 use rhubarb_node::{editions as news, instances};
 
 /// Pools by service and role.
@@ -25,7 +25,7 @@
     pub(crate) read_instances: bool,
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
-    members: collections::BTreeMap<ids::ServiceName, home::Members>,
+    members: collections::BTreeMap<ids::ServiceName, owner::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::Budget>,
     fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
     paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
@@ -203,7 +203,7 @@
 
     /// Home of an idempotency key.
     pub(crate) fn home(&self, service: &str, key: ids::KeyHash) -> Option<ids::ServerName> {
-        self.members.get(service)?.home(key).cloned()
+        self.members.get(service)?.owner(key).cloned()
     }
 
     /// Fair shares of the callers of a service.
--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_core::{home, ids, load, pool, subset};
+use rhubarb_core::{ids, load, owner, pool, subset};
 use rhubarb_wire::{auth, datagram, frame, message};
 
 use crate::meter;
@@ -72,7 +72,7 @@
     });
     let names: Vec<ids::ServerName> = (0..HOMES).map(|number| format!("yard-{number}")).collect();
     meter.time("find the home of a key among 30 servers", 2_000, |number| {
-        home::rank(u128::from(number), &names).len()
+        owner::rank(u128::from(number), &names).len()
     });
 }
 
