--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -5,7 +5,7 @@
 use prometheus_client::metrics::{counter, gauge};
 use tokio::{sync as lock, task};
 
-use rhubarb_core::{editions, gate, ids, list, load, outcome, pace, rooms};
+use rhubarb_core::{gate, ids, list, load, outcome, pace, revisions, rooms};
 use rhubarb_node::{client, clock, instances, locks, metrics, objects, table};
 use rhubarb_wire::message;
 
@@ -32,7 +32,7 @@
     pub(crate) gate: gate::Gate,
     pub(crate) rooms: rooms::Rooms,
     pub(crate) pace: pace::Pace,
-    pub(crate) editions: editions::Editions,
+    pub(crate) editions: revisions::Revisions,
     pub(crate) gone: collections::BTreeSet<ids::ServerName>,
     pub(crate) instances: Vec<instances::Instance>,
     pub(crate) known: bool,
@@ -105,7 +105,7 @@
             gate: gate::Gate::new(settings.server.clone(), limits, now),
             rooms: rooms::Rooms::new(0, settings.queue, RESERVATION),
             pace: pace::Pace::default(),
-            editions: editions::Editions::default(),
+            editions: revisions::Revisions::default(),
             gone: collections::BTreeSet::new(),
             instances: Vec::new(),
             known: false,
--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,13 +1,13 @@
-//! What one edition of the service list changes in the one before.
+//! What one revision of the service list changes in the one before.
 //!
 //! The list of a large fleet is megabytes and changes many times a minute, so processes pass on
 //! and take in changes instead of lists.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{edition, ids, parse, section};
+use crate::{ids, parse, revision, section};
 
-/// Difference between an edition and the next.
+/// Difference between an revision and the next.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Sections whose text changed.
@@ -17,7 +17,7 @@
     /// Servers that joined or left.
     pub joined: Vec<TimeChange>,
     /// Servers that left their service.
-    pub removed: Vec<edition::Removal>,
+    pub removed: Vec<revision::Removal>,
 }
 
 /// New text of a section; `None` if the section went.
@@ -41,7 +41,7 @@
 /// Finds what `content` changes in `before`.
 ///
 /// Returns `None` where sections moved, so that the whole list has to be read again.
-pub fn between(before: &edition::Edition, content: &edition::Content) -> Option<Change> {
+pub fn diff(before: &revision::Revision, content: &revision::Content) -> Option<Change> {
     let chunks = section::split_chunks(&content.text);
     let old: section::Chunks<'_> = section::by_name(&before.chunks);
     let new: section::Chunks<'_> = section::by_name(&chunks);
@@ -67,7 +67,7 @@
     (text == content.text).then_some(change)
 }
 
-fn time_changes(before: &edition::Times, after: &edition::Times) -> Vec<TimeChange> {
+fn time_changes(before: &revision::Times, after: &revision::Times) -> Vec<TimeChange> {
     let gone = before.keys().filter(|name| !after.contains_key(*name));
     let gone = gone.map(|name| TimeChange { name: name.clone(), at_ms: None });
     let changed = after.iter().filter(|(name, at_ms)| before.get(*name) != Some(at_ms));
@@ -92,7 +92,7 @@
     }
 }
 
-fn change_times(times: &mut edition::Times, changes: &[TimeChange]) {
+fn change_times(times: &mut revision::Times, changes: &[TimeChange]) {
     for change in changes {
         match change.at_ms {
             Some(at_ms) => times.insert(change.name.clone(), at_ms),
@@ -108,13 +108,13 @@
     }
 
     /// Whether anything but callers changed.
-    pub fn touches_services(&self) -> bool {
+    pub fn affects_services(&self) -> bool {
         let is_service = |change: &SectionChange| change.name.starts_with("service ");
         self.sections.iter().any(is_service) || !self.joined.is_empty()
     }
 }
 
-impl edition::Edition {
+impl revision::Revision {
     /// Takes the change that makes `version` of the version before; false if it cannot.
     pub fn apply(&mut self, version: ids::ListVersion, change: &Change) -> bool {
         if version != self.version + 1 {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,8 +14,6 @@
 pub mod assembly;
 pub mod budget;
 pub mod change;
-pub mod edition;
-pub mod editions;
 pub mod engine;
 pub mod engines;
 pub mod events;
@@ -39,6 +37,8 @@
 pub mod record;
 pub mod repeat;
 pub mod returns;
+pub mod revision;
+pub mod revisions;
 pub mod rooms;
 pub mod routing;
 pub mod section;
--- a/crates/core/src/edition.rs
+++ b/crates/core/src/revision.rs
@@ -1,4 +1,4 @@
-//! Editions of the service list, as the table holds them and processes keep them.
+//! Revisions of the service list, as the table holds them and processes keep them.
 
 use std::{collections, time};
 
@@ -35,7 +35,7 @@
 
 /// A version of the service list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Edition {
+pub struct Revision {
     /// Version; the table's version of the row.
     pub version: ids::ListVersion,
     /// Checked list.
@@ -57,12 +57,12 @@
 /// # Errors
 /// Returns the mistakes in `text`.
 pub fn next_content(
-    before: Option<&Edition>,
+    before: Option<&Revision>,
     text: &str,
     now_ms: u64,
 ) -> Result<Content, Vec<section::Mistake>> {
     let list = parse::parse_list(text)?;
-    let empty = Edition::default();
+    let empty = Revision::default();
     let before = before.unwrap_or(&empty);
     let mut content = Content { text: text.to_string(), ..Content::default() };
     for service in list.services.values() {
@@ -79,7 +79,7 @@
     Ok(content)
 }
 
-fn removals(before: &Edition, list: &list::ServiceList, now_ms: u64) -> Vec<Removal> {
+fn removals(before: &Revision, list: &list::ServiceList, now_ms: u64) -> Vec<Removal> {
     let oldest = now_ms.saturating_sub(REMOVALS_KEPT.as_millis() as u64);
     let kept = before.removed.iter().filter(|removal| removal.at_ms >= oldest).cloned();
     let mut removed: Vec<_> = kept.collect();
@@ -96,21 +96,21 @@
 }
 
 /// Reads a row of the table; `None` if it was not written by `rhubarb-ctl`.
-pub fn read_row(version: ids::ListVersion, row: &str) -> Option<Edition> {
+pub fn read_row(version: ids::ListVersion, row: &str) -> Option<Revision> {
     let content: Content = serde_json::from_str(row).ok()?;
     let list = parse::parse_list(&content.text).ok()?;
     let chunks = section::split_chunks(&content.text);
     let Content { created, joined, removed, .. } = content;
-    Some(Edition { version, list, chunks, created, joined, removed })
+    Some(Revision { version, list, chunks, created, joined, removed })
 }
 
-impl Edition {
+impl Revision {
     /// INI text.
     pub fn text(&self) -> String {
         self.chunks.iter().map(|chunk| chunk.text.as_str()).collect()
     }
 
-    /// Row of the table, for a process that has no earlier edition.
+    /// Row of the table, for a process that has no earlier revision.
     pub fn row(&self) -> String {
         let content = Content {
             text: self.text(),
--- a/crates/core/src/editions.rs
+++ b/crates/core/src/revisions.rs
@@ -1,19 +1,19 @@
-//! The edition in force at one process, and the changes that led to it.
+//! The revision in force at one process, and the changes that led to it.
 
 use std::collections;
 
-use crate::{change, edition, ids};
+use crate::{change, ids, revision};
 
-/// Edition in force, with recent changes for peers that are a little behind.
+/// Revision in force, with recent changes for peers that are a little behind.
 #[derive(Clone, Debug, Default)]
-pub struct Editions {
-    current: edition::Edition,
+pub struct Revisions {
+    current: revision::Revision,
     recent: collections::BTreeMap<ids::ListVersion, String>,
 }
 
-/// What a new edition touches.
+/// What a new revision touches.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Touched {
+pub enum Affected {
     /// Everything may have changed.
     All,
     /// Only what is named.
@@ -36,9 +36,9 @@
 
 const RECENT: usize = 256;
 
-impl Editions {
-    /// Edition in force.
-    pub fn current(&self) -> &edition::Edition {
+impl Revisions {
+    /// Revision in force.
+    pub fn current(&self) -> &revision::Revision {
         &self.current
     }
 
@@ -48,17 +48,17 @@
     }
 
     /// Takes a whole row if it is newer.
-    pub fn take_row(&mut self, version: ids::ListVersion, row: &str) -> Option<Touched> {
+    pub fn apply_row(&mut self, version: ids::ListVersion, row: &str) -> Option<Affected> {
         if version <= self.current.version {
             return None;
         }
-        self.current = edition::read_row(version, row)?;
+        self.current = revision::read_row(version, row)?;
         self.recent.clear();
-        Some(Touched::All)
+        Some(Affected::All)
     }
 
     /// Takes the change that makes `version` if it follows the version in force.
-    pub fn take_change(&mut self, version: ids::ListVersion, text: &str) -> Option<Touched> {
+    pub fn apply_change(&mut self, version: ids::ListVersion, text: &str) -> Option<Affected> {
         if self.current.version == 0 || version != self.current.version + 1 {
             return None;
         }
@@ -71,7 +71,7 @@
             self.recent.pop_first();
         }
         let callers = change.callers().map(str::to_string).collect();
-        Some(Touched::Part { callers, services: change.touches_services() })
+        Some(Affected::Part { callers, services: change.affects_services() })
     }
 
     /// What a peer with `version` needs; `None` if it is up to date.
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/revisions.rs
@@ -1,10 +1,10 @@
-//! Changes bring a process to the same edition as the whole list does.
+//! Changes bring a process to the same revision as the whole list does.
 
 mod random;
 
 use proptest::prelude::*;
 
-use rhubarb_core::{change, edition, editions, ids};
+use rhubarb_core::{change, ids, revision, revisions};
 
 fn section(kind: usize, number: usize, rate: u32) -> String {
     let key = ids::key_digest(&number.to_string());
@@ -14,23 +14,23 @@
     }
 }
 
-fn edition(version: u64, before: Option<&edition::Edition>, text: &str) -> edition::Edition {
-    let content = edition::next_content(before, text, version * 1000).unwrap();
-    edition::read_row(version, &serde_json::to_string(&content).unwrap()).unwrap()
+fn revision(version: u64, before: Option<&revision::Revision>, text: &str) -> revision::Revision {
+    let content = revision::next_content(before, text, version * 1000).unwrap();
+    revision::read_row(version, &serde_json::to_string(&content).unwrap()).unwrap()
 }
 
-fn changed(old: &edition::Edition, new: &edition::Edition) -> Option<change::Change> {
-    change::between(old, &serde_json::from_str(&new.row()).unwrap())
+fn changed(old: &revision::Revision, new: &revision::Revision) -> Option<change::Change> {
+    change::diff(old, &serde_json::from_str(&new.row()).unwrap())
 }
 
 #[test]
 fn one_caller() {
-    let old = edition(1, None, &format!("# head\n{}{}", section(1, 1, 5), section(0, 1, 5)));
+    let old = revision(1, None, &format!("# head\n{}{}", section(1, 1, 5), section(0, 1, 5)));
     let text = old.text().replace("rate = 5", "rate = 6");
-    let new = edition(2, Some(&old), &text);
+    let new = revision(2, Some(&old), &text);
     let change = changed(&old, &new).unwrap();
     assert_eq!(change.callers().collect::<Vec<_>>(), ["c-1"]);
-    assert!(!change.touches_services());
+    assert!(!change.affects_services());
     let mut applied = old.clone();
     assert!(applied.apply(2, &change));
     assert_eq!(applied, new);
@@ -40,15 +40,15 @@
 
 #[test]
 fn moved_sections() {
-    let old = edition(1, None, &format!("{}{}", section(1, 1, 5), section(1, 2, 5)));
-    let new = edition(2, Some(&old), &format!("{}{}", section(1, 2, 5), section(1, 1, 5)));
+    let old = revision(1, None, &format!("{}{}", section(1, 1, 5), section(1, 2, 5)));
+    let new = revision(2, Some(&old), &format!("{}{}", section(1, 2, 5), section(1, 1, 5)));
     assert_eq!(changed(&old, &new), None, "the whole list is read again");
 }
 
 #[test]
 fn removed_server() {
-    let old = edition(1, None, &format!("{}{}", section(1, 1, 5), section(1, 2, 5)));
-    let new = edition(2, Some(&old), &section(1, 1, 5));
+    let old = revision(1, None, &format!("{}{}", section(1, 1, 5), section(1, 2, 5)));
+    let new = revision(2, Some(&old), &section(1, 1, 5));
     let mut applied = old.clone();
     assert!(applied.apply(2, &changed(&old, &new).unwrap()));
     assert_eq!(applied, new);
@@ -57,23 +57,23 @@
 
 #[test]
 fn peers_served() {
-    let first = edition(1, None, &section(1, 1, 5));
-    let mut all = editions::Editions::default();
-    all.take_row(1, &first.row());
+    let first = revision(1, None, &section(1, 1, 5));
+    let mut all = revisions::Revisions::default();
+    all.apply_row(1, &first.row());
     let mut current = first;
     for version in 2..5 {
-        let next = edition(version, Some(&current), &section(1, 1, version as u32));
+        let next = revision(version, Some(&current), &section(1, 1, version as u32));
         let change = serde_json::to_string(&changed(&current, &next).unwrap()).unwrap();
-        assert!(all.take_change(version, &change).is_some());
-        assert!(all.take_change(version, &change).is_none(), "taken once");
+        assert!(all.apply_change(version, &change).is_some());
+        assert!(all.apply_change(version, &change).is_none(), "taken once");
         current = next;
     }
     assert_eq!(all.current(), &current);
     assert_eq!(all.update_from(4), None);
-    let Some(editions::Update::Changes(3, changes)) = all.update_from(2) else { panic!() };
+    let Some(revisions::Update::Changes(3, changes)) = all.update_from(2) else { panic!() };
     assert_eq!(changes.len(), 2);
-    assert!(matches!(all.update_from(0), Some(editions::Update::Row(4, _))));
-    assert!(all.take_row(3, &current.row()).is_none(), "never back");
+    assert!(matches!(all.update_from(0), Some(revisions::Update::Row(4, _))));
+    assert!(all.apply_row(3, &current.row()).is_none(), "never back");
 }
 
 proptest! {
@@ -86,7 +86,7 @@
             let texts = sections.iter().map(|(kind, number, rate)| section(*kind, *number, *rate));
             texts.collect::<String>()
         };
-        let mut whole = edition(1, None, &text(&sections));
+        let mut whole = revision(1, None, &text(&sections));
         let mut applied = whole.clone();
         for (version, (kind, number, rate)) in (2..).zip(edits) {
             let at = sections.iter().position(|(k, n, _)| (*k, *n) == (kind, number));
@@ -97,7 +97,7 @@
                 (Some(at), _) => sections[at].2 = rate,
                 (None, _) => sections.push((kind, number, rate.max(1))),
             }
-            let next = edition(version, Some(&whole), &text(&sections));
+            let next = revision(version, Some(&whole), &text(&sections));
             let change = changed(&whole, &next);
             prop_assert!(change.is_some(), "no section moved");
             prop_assert!(applied.apply(version, &change.unwrap()));
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, header};
 use serde_json::json;
 
-use rhubarb_core::{change, edition};
+use rhubarb_core::{change, revision};
 use rhubarb_node::{client, clock, editions, instances, platform, table};
 
 use editions::LIST_KEY;
@@ -78,9 +78,9 @@
         Commands { settings, client, table }
     }
 
-    async fn current(&self) -> Result<Option<edition::Edition>, CommandError> {
+    async fn current(&self) -> Result<Option<revision::Revision>, CommandError> {
         let Some(row) = self.table.read(LIST_KEY).await? else { return Ok(None) };
-        edition::read_row(row.version, &row.value).map(Some).ok_or_else(|| {
+        revision::read_row(row.version, &row.value).map(Some).ok_or_else(|| {
             let what = "the list in force was written by another release; upgrade rhubarb-ctl";
             CommandError::Conflict(what.to_string())
         })
@@ -102,7 +102,7 @@
         if version != expected {
             return Err(conflict(expected, version));
         }
-        let content = edition::next_content(current.as_ref(), text, clock::unix_ms());
+        let content = revision::next_content(current.as_ref(), text, clock::unix_ms());
         let content = content.map_err(|_| CommandError::Input("the list has mistakes".into()))?;
         let change = format!("{:032x}", rand::random::<u128>());
         match self.table.commit(&writes(current.as_ref(), &content, expected, &change)).await {
@@ -129,7 +129,7 @@
             let what = "no list was applied yet; run `rhubarb-ctl apply FILE --expect 0`";
             return Err(CommandError::Conflict(what.to_string()));
         };
-        let content: edition::Content = serde_json::from_str(&row.value)
+        let content: revision::Content = serde_json::from_str(&row.value)
             .map_err(|err| CommandError::Conflict(format!("{err}; upgrade rhubarb-ctl")))?;
         let head = format!("# version {}, change {}\n", row.version, row.write_id);
         Ok(Output {
@@ -199,12 +199,12 @@
 // The list, its head and what changed, in one transaction. The change is left empty where sections
 // moved, and the whole list is read then.
 fn writes(
-    current: Option<&edition::Edition>,
-    content: &edition::Content,
+    current: Option<&revision::Revision>,
+    content: &revision::Content,
     expected: u64,
     write_id: &str,
 ) -> Vec<table::Write> {
-    let change = current.and_then(|current| change::between(current, content));
+    let change = current.and_then(|current| change::diff(current, content));
     let change = change.map(|change| json!(change).to_string()).unwrap_or_default();
     let write = |key: &str, expected, value| table::Write {
         key: key.to_string(),
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,7 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, editions, fair, ids, list, load, owner, pace, pool, subset};
+use rhubarb_core::{budget, fair, ids, list, load, owner, pace, pool, revisions, subset};
 use rhubarb_node::{editions as news, instances};
 
 /// Pools by service and role.
@@ -20,7 +20,7 @@
     name: String,
     zone: ids::ZoneName,
     size: usize,
-    editions: editions::Editions,
+    editions: revisions::Revisions,
     pub(crate) instances: collections::BTreeMap<ids::ServerName, instances::Instance>,
     pub(crate) read_instances: bool,
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
@@ -38,7 +38,7 @@
             name: name.to_string(),
             zone: zone.to_string(),
             size,
-            editions: editions::Editions::default(),
+            editions: revisions::Revisions::default(),
             instances: collections::BTreeMap::new(),
             read_instances: false,
             pools: collections::BTreeMap::new(),
@@ -62,7 +62,7 @@
     }
 
     /// What a peer with `version` needs to come up to date.
-    pub(crate) fn update_from(&self, version: ids::ListVersion) -> Option<editions::Update> {
+    pub(crate) fn update_from(&self, version: ids::ListVersion) -> Option<revisions::Update> {
         self.editions.update_from(version)
     }
 
@@ -70,13 +70,13 @@
     pub(crate) fn take_news(&mut self, news: &news::News, now: time::Instant) -> bool {
         let Some(touched) = news::take_news(&mut self.editions, news) else { return false };
         match touched {
-            editions::Touched::All => {
+            revisions::Affected::All => {
                 self.digests.clear();
                 let callers: Vec<_> = self.list().callers.keys().cloned().collect();
                 self.index_callers(&callers);
                 self.rebuild(now);
             }
-            editions::Touched::Part { callers, services } => {
+            revisions::Affected::Part { callers, services } => {
                 self.digests.retain(|_, name| !callers.contains(name));
                 self.index_callers(&callers);
                 if services {
--- a/crates/node/src/editions.rs
+++ b/crates/node/src/editions.rs
@@ -3,7 +3,7 @@
 //! Three rows are written in one transaction: the whole list, a head with the same version that
 //! is cheap to poll, and what the version changed.
 
-use rhubarb_core::{editions, ids};
+use rhubarb_core::{ids, revisions};
 use rhubarb_wire::message;
 
 use crate::{platform, table};
@@ -58,19 +58,19 @@
 }
 
 /// Takes news into `editions`; a change that does not fit makes the whole row be read next.
-pub fn take_news(editions: &mut editions::Editions, news: &News) -> Option<editions::Touched> {
+pub fn take_news(editions: &mut revisions::Revisions, news: &News) -> Option<revisions::Affected> {
     match news {
         News::None => None,
-        News::Change(version, text) => editions.take_change(*version, text),
-        News::Row(version, row) => editions.take_row(*version, row),
+        News::Change(version, text) => editions.apply_change(*version, text),
+        News::Row(version, row) => editions.apply_row(*version, row),
     }
 }
 
 /// Writes what a peer lacks as a message, with the last instance list in JSON.
-pub fn write_copy(update: editions::Update, instances: String) -> message::ListCopy {
+pub fn write_copy(update: revisions::Update, instances: String) -> message::ListCopy {
     let (version, body) = match update {
-        editions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
-        editions::Update::Changes(version, changes) => {
+        revisions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
+        revisions::Update::Changes(version, changes) => {
             (version, message::ListBody::Changes(changes))
         }
     };
--- a/crates/slopes/src/lists.rs
+++ b/crates/slopes/src/lists.rs
@@ -1,6 +1,6 @@
 //! Costs of the service list.
 
-use rhubarb_core::{change, edition, ids};
+use rhubarb_core::{change, ids, revision};
 
 use crate::meter;
 
@@ -14,22 +14,22 @@
     let board = "[service board]\nkind = plain\nservers = server-1\n\n";
     let many_callers = format!("{board}{callers}");
     meter.time("check a list of 14000 callers", 1, |_| {
-        edition::next_content(None, &many_callers, 1).is_ok()
+        revision::next_content(None, &many_callers, 1).is_ok()
     });
     meter.time("check a list of 12000 servers", 1, |_| {
-        edition::next_content(None, &servers, 1).is_ok()
+        revision::next_content(None, &servers, 1).is_ok()
     });
     measure_changes(meter);
     let row = full_row();
     meter.size("row of a list of 14000 callers and 12000 servers", row.len());
-    meter.time("read that row", 1, |_| edition::read_row(1, &row).is_some());
+    meter.time("read that row", 1, |_| revision::read_row(1, &row).is_some());
 }
 
 fn measure_changes(meter: &mut meter::Meter) {
-    let edition = edition::read_row(1, &full_row()).expect("the row is sound");
+    let edition = revision::read_row(1, &full_row()).expect("the row is sound");
     let text = edition.text().replacen("rate = 100", "rate = 101", 1);
-    let content = edition::next_content(Some(&edition), &text, 2).expect("no mistakes");
-    let change = change::between(&edition, &content).expect("no section moved");
+    let content = revision::next_content(Some(&edition), &text, 2).expect("no mistakes");
+    let change = change::diff(&edition, &content).expect("no section moved");
     let bytes = serde_json::to_string(&change).expect("changes can be encoded").len();
     meter.size("change of one caller", bytes);
     let mut edition = edition;
@@ -42,12 +42,12 @@
 
 pub(crate) fn measure_memory(meter: &mut meter::Meter) {
     let row = full_row();
-    meter.memory("edition of 14000 callers and 12000 servers", 1, || edition::read_row(1, &row));
+    meter.memory("edition of 14000 callers and 12000 servers", 1, || revision::read_row(1, &row));
 }
 
 fn full_row() -> String {
     let text = format!("{}{}", servers_text(), callers_text());
-    let content = edition::next_content(None, &text, 1).expect("the list has no mistakes");
+    let content = revision::next_content(None, &text, 1).expect("the list has no mistakes");
     serde_json::to_string(&content).expect("contents can be encoded")
 }
 
