--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,53 +1,53 @@
-//! What one revision of the service list changes in the one before.
+//! Differences between consecutive revisions of the service list.
 //!
-//! The list of a large fleet is megabytes and changes many times a minute, so processes pass on
-//! and take in changes instead of lists.
+//! The list of a large fleet is megabytes in size and changes many times a minute, so processes
+//! exchange and apply changes instead of whole lists.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ids, parse, revision, section};
 
-/// Difference between an revision and the next.
+/// Difference between a revision and the next one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Sections whose text changed.
     pub sections: Vec<SectionChange>,
-    /// Services that came or went.
+    /// Services that were added or removed.
     pub created: Vec<TimeChange>,
-    /// Servers that joined or left.
+    /// Servers that joined or left a service.
     pub joined: Vec<TimeChange>,
     /// Servers that left their service.
     pub removed: Vec<revision::Removal>,
 }
 
-/// New text of a section; `None` if the section went.
+/// New text of a section, or its removal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SectionChange {
     /// Name in the brackets; empty for the text before the first section.
     pub name: String,
-    /// New text.
+    /// New text; `None` if the section was removed.
     pub text: Option<String>,
 }
 
-/// New time of a name; `None` if the name went.
+/// New time recorded for a name, or its removal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TimeChange {
-    /// Service or server.
+    /// Name of the service or server.
     pub name: String,
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch; `None` if the name was removed.
     pub at_ms: Option<u64>,
 }
 
-/// Finds what `content` changes in `before`.
+/// Computes the change that turns `before` into `content`.
 ///
-/// Returns `None` where sections moved, so that the whole list has to be read again.
+/// Returns `None` if the order of sections changed; the whole list must then be read again.
 pub fn diff(before: &revision::Revision, content: &revision::Content) -> Option<Change> {
     let chunks = section::split_chunks(&content.text);
     let old: section::Chunks<'_> = section::by_name(&before.chunks);
     let new: section::Chunks<'_> = section::by_name(&chunks);
-    let gone = before.chunks.iter().filter(|chunk| !new.contains_key(chunk.name.as_str()));
+    let deleted = before.chunks.iter().filter(|chunk| !new.contains_key(chunk.name.as_str()));
     let changed = chunks.iter().filter(|chunk| old.get(chunk.name.as_str()) != Some(&&chunk.text));
-    let sections = gone
+    let sections = deleted
         .map(|chunk| SectionChange { name: chunk.name.clone(), text: None })
         .chain(changed.map(|chunk| SectionChange {
             name: chunk.name.clone(),
@@ -57,26 +57,26 @@
     let removed = content.removed.iter().filter(|removal| !before.removed.contains(removal));
     let change = Change {
         sections,
-        created: time_changes(&before.created, &content.created),
-        joined: time_changes(&before.joined, &content.joined),
+        created: diff_times(&before.created, &content.created),
+        joined: diff_times(&before.joined, &content.joined),
         removed: removed.cloned().collect(),
     };
     let mut chunks = before.chunks.clone();
-    change_chunks(&mut chunks, &change.sections);
+    apply_to_chunks(&mut chunks, &change.sections);
     let text: String = chunks.into_iter().map(|chunk| chunk.text).collect();
     (text == content.text).then_some(change)
 }
 
-fn time_changes(before: &revision::Times, after: &revision::Times) -> Vec<TimeChange> {
-    let gone = before.keys().filter(|name| !after.contains_key(*name));
-    let gone = gone.map(|name| TimeChange { name: name.clone(), at_ms: None });
+fn diff_times(before: &revision::Times, after: &revision::Times) -> Vec<TimeChange> {
+    let deleted = before.keys().filter(|name| !after.contains_key(*name));
+    let deleted = deleted.map(|name| TimeChange { name: name.clone(), at_ms: None });
     let changed = after.iter().filter(|(name, at_ms)| before.get(*name) != Some(at_ms));
     let changed =
         changed.map(|(name, at_ms)| TimeChange { name: name.clone(), at_ms: Some(*at_ms) });
-    gone.chain(changed).collect()
+    deleted.chain(changed).collect()
 }
 
-fn change_chunks(chunks: &mut Vec<section::Chunk>, changes: &[SectionChange]) {
+fn apply_to_chunks(chunks: &mut Vec<section::Chunk>, changes: &[SectionChange]) {
     for change in changes {
         let at = chunks.iter().position(|chunk| chunk.name == change.name);
         match (at, &change.text) {
@@ -92,7 +92,7 @@
     }
 }
 
-fn change_times(times: &mut revision::Times, changes: &[TimeChange]) {
+fn apply_to_times(times: &mut revision::Times, changes: &[TimeChange]) {
     for change in changes {
         match change.at_ms {
             Some(at_ms) => times.insert(change.name.clone(), at_ms),
@@ -107,7 +107,7 @@
         self.sections.iter().filter_map(|change| change.name.strip_prefix("caller "))
     }
 
-    /// Whether anything but callers changed.
+    /// Whether a service or the servers of a service changed.
     pub fn affects_services(&self) -> bool {
         let is_service = |change: &SectionChange| change.name.starts_with("service ");
         self.sections.iter().any(is_service) || !self.joined.is_empty()
@@ -115,7 +115,10 @@
 }
 
 impl revision::Revision {
-    /// Takes the change that makes `version` of the version before; false if it cannot.
+    /// Applies the change that leads to `version`.
+    ///
+    /// Returns false and changes nothing if `version` is not the next one or the text of the
+    /// changed sections is invalid.
     pub fn apply(&mut self, version: ids::ListVersion, change: &Change) -> bool {
         if version != self.version + 1 {
             return false;
@@ -131,9 +134,9 @@
         }
         self.list.services.extend(part.services);
         self.list.callers.extend(part.callers);
-        change_chunks(&mut self.chunks, &change.sections);
-        change_times(&mut self.created, &change.created);
-        change_times(&mut self.joined, &change.joined);
+        apply_to_chunks(&mut self.chunks, &change.sections);
+        apply_to_times(&mut self.created, &change.created);
+        apply_to_times(&mut self.joined, &change.joined);
         self.removed.extend(change.removed.iter().cloned());
         self.version = version;
         true
