--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of the service list, as the table holds them and processes keep them.
+//! One revision of the service list: its row in the table and its parsed form.
 
 use std::{collections, time};
 
@@ -6,10 +6,10 @@
 
 use crate::{ids, list, parse, section};
 
-/// When each of some names came, in milliseconds since 1970.
+/// Time at which each service or server was added, in milliseconds since the Unix epoch.
 pub type Times = collections::BTreeMap<String, u64>;
 
-/// Content of the list's row in the table: the text, and when servers came and went.
+/// Content of the list's row in the table: the text, and when servers joined and left.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Content {
     /// INI text as the operator wrote it.
@@ -18,44 +18,44 @@
     pub created: Times,
     /// When each server joined its service.
     pub joined: Times,
-    /// Servers that left within the last day.
+    /// Servers that left their service within the last day.
     pub removed: Vec<Removal>,
 }
 
 /// A server that left its service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Removal {
-    /// Service.
+    /// Service that the server left.
     pub service: ids::ServiceName,
-    /// Server.
+    /// Server that left.
     pub server: ids::ServerName,
-    /// When it left, in milliseconds since 1970.
+    /// When it left, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// A version of the service list.
+/// A parsed and checked revision of the service list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Revision {
-    /// Version; the table's version of the row.
+    /// Version, equal to the version of the row in the table.
     pub version: ids::ListVersion,
     /// Checked list.
     pub list: list::ServiceList,
-    /// Text by section.
+    /// Text, split into sections.
     pub(crate) chunks: Vec<section::Chunk>,
     /// When each service was first listed.
     pub(crate) created: Times,
     /// When each server joined its service.
     pub(crate) joined: Times,
-    /// Servers that left within the last day.
+    /// Servers that left their service within the last day.
     pub removed: Vec<Removal>,
 }
 
-const REMOVALS_KEPT: time::Duration = time::Duration::from_secs(24 * 3600);
+const REMOVAL_RETENTION: time::Duration = time::Duration::from_secs(24 * 3600);
 
-/// Makes the content that replaces `before`.
+/// Builds the content of the revision that follows `before`, from `text`.
 ///
 /// # Errors
-/// Returns the mistakes in `text`.
+/// Returns the mistakes found in `text`.
 pub fn next_content(
     before: Option<&Revision>,
     text: &str,
@@ -75,12 +75,12 @@
             content.joined.insert(server.clone(), joined.copied().unwrap_or(now_ms));
         }
     }
-    content.removed = removals(before, &list, now_ms);
+    content.removed = recent_removals(before, &list, now_ms);
     Ok(content)
 }
 
-fn removals(before: &Revision, list: &list::ServiceList, now_ms: u64) -> Vec<Removal> {
-    let oldest = now_ms.saturating_sub(REMOVALS_KEPT.as_millis() as u64);
+fn recent_removals(before: &Revision, list: &list::ServiceList, now_ms: u64) -> Vec<Removal> {
+    let oldest = now_ms.saturating_sub(REMOVAL_RETENTION.as_millis() as u64);
     let kept = before.removed.iter().filter(|removal| removal.at_ms >= oldest).cloned();
     let mut removed: Vec<_> = kept.collect();
     for service in before.list.services.values() {
@@ -95,7 +95,7 @@
     removed
 }
 
-/// Reads a row of the table; `None` if it was not written by `rhubarb-ctl`.
+/// Parses a row of the table; `None` if it is not a valid list as `rhubarb-ctl` writes it.
 pub fn read_row(version: ids::ListVersion, row: &str) -> Option<Revision> {
     let content: Content = serde_json::from_str(row).ok()?;
     let list = parse::parse_list(&content.text).ok()?;
@@ -105,12 +105,12 @@
 }
 
 impl Revision {
-    /// INI text.
+    /// Whole INI text.
     pub fn text(&self) -> String {
         self.chunks.iter().map(|chunk| chunk.text.as_str()).collect()
     }
 
-    /// Row of the table, for a process that has no earlier revision.
+    /// Encodes the revision as a table row, for a process that has no earlier revision.
     pub fn row(&self) -> String {
         let content = Content {
             text: self.text(),
@@ -127,7 +127,7 @@
         Some(time::Duration::from_millis(now_ms.saturating_sub(joined)))
     }
 
-    /// Time since `server` joined a service that existed before it, if it did.
+    /// Time since `server` joined `service`, if the service existed before that.
     pub fn joined_ago(&self, service: &str, server: &str, now_ms: u64) -> Option<time::Duration> {
         let joined = *self.joined.get(server)?;
         let created = *self.created.get(service)?;
