--- a/crates/core/src/revisions.rs
+++ b/crates/core/src/revisions.rs
@@ -1,22 +1,22 @@
-//! The revision in force at one process, and the changes that led to it.
+//! The current revision of the service list at one process, and the changes that led to it.
 
 use std::collections;
 
 use crate::{change, ids, revision};
 
-/// Revision in force, with recent changes for peers that are a little behind.
+/// Current revision, with recent changes for peers that lag a few versions behind.
 #[derive(Clone, Debug, Default)]
 pub struct Revisions {
     current: revision::Revision,
     recent: collections::BTreeMap<ids::ListVersion, String>,
 }
 
-/// What a new revision touches.
+/// Parts of the list that a new revision affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Affected {
     /// Everything may have changed.
     All,
-    /// Only what is named.
+    /// Only the named parts changed.
     Part {
         /// Callers that changed.
         callers: Vec<ids::CallerName>,
@@ -25,29 +25,29 @@
     },
 }
 
-/// What a peer needs to come up to date.
+/// Data that brings a peer up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// Changes in order, the first of which makes the given version.
+    /// Consecutive changes, the first of which leads to the given version.
     Changes(ids::ListVersion, Vec<String>),
     /// The whole row of the given version.
     Row(ids::ListVersion, String),
 }
 
-const RECENT: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 
 impl Revisions {
-    /// Revision in force.
+    /// Current revision.
     pub fn current(&self) -> &revision::Revision {
         &self.current
     }
 
-    /// Version in force; 0 while there is none.
+    /// Current version; 0 while there is none.
     pub fn version(&self) -> ids::ListVersion {
         self.current.version
     }
 
-    /// Takes a whole row if it is newer.
+    /// Replaces the current revision by a whole row, if the row is newer and valid.
     pub fn apply_row(&mut self, version: ids::ListVersion, row: &str) -> Option<Affected> {
         if version <= self.current.version {
             return None;
@@ -57,7 +57,7 @@
         Some(Affected::All)
     }
 
-    /// Takes the change that makes `version` if it follows the version in force.
+    /// Applies the change that leads to `version`, if it is valid and follows the current version.
     pub fn apply_change(&mut self, version: ids::ListVersion, text: &str) -> Option<Affected> {
         if self.current.version == 0 || version != self.current.version + 1 {
             return None;
@@ -67,14 +67,14 @@
             return None;
         }
         self.recent.insert(version, text.to_string());
-        while self.recent.len() > RECENT {
+        while self.recent.len() > MAX_RECENT_CHANGES {
             self.recent.pop_first();
         }
         let callers = change.callers().map(str::to_string).collect();
         Some(Affected::Part { callers, services: change.affects_services() })
     }
 
-    /// What a peer with `version` needs; `None` if it is up to date.
+    /// Update for a peer that has `version`; `None` if it is up to date.
     pub fn update_from(&self, version: ids::ListVersion) -> Option<Update> {
         if version >= self.current.version {
             return None;
