--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -181,7 +181,7 @@
         let Some(service) = self.service(server).filter(|_| self.first) else { return };
         let listed = self.editions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
-            self.gate.trust_memory();
+            self.gate.mark_history_complete();
             self.first = false;
             tracing::info!("agent: first process of its server; unknown keys do not wait");
         }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -86,11 +86,11 @@
     state.gate.set_window(service.window);
     state.trust_first(server);
     if let Some(ago) = joined {
-        state.gate.join(ago, now);
+        state.gate.record_join(ago, now);
     }
     for removal in removed {
         let ago = time::Duration::from_millis(unix.saturating_sub(removal.at_ms));
-        state.gate.note_removed(&removal.server, ago, now);
+        state.gate.record_removal(&removal.server, ago, now);
     }
     let gone = state.gone.clone();
     state.gate.observe(service.servers(), |name| gone.contains(name), now);
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -80,7 +80,7 @@
         .service(server)
         .and_then(|service| edition.joined_ago(&service.name, server, clock::unix_ms()));
     if let Some(ago) = joined {
-        state.gate.join(ago, clock::now());
+        state.gate.record_join(ago, clock::now());
     }
     let held = state.gate.held_back(clock::now());
     tracing::info!("agent: registered with fence {fence}; unknown keys wait {} s", held.as_secs());
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{handover, ids, outcome, trust};
+use crate::{handover, ids, key_history, outcome};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -102,7 +102,7 @@
     lost: collections::BTreeSet<Due>,
     ended: collections::BTreeSet<Due>,
     ended_keys: collections::BTreeSet<Due>,
-    trust: trust::Trust,
+    key_history: key_history::KeyHistory,
     leaving: bool,
 }
 
@@ -118,19 +118,19 @@
             lost: collections::BTreeSet::new(),
             ended: collections::BTreeSet::new(),
             ended_keys: collections::BTreeSet::new(),
-            trust: trust::Trust::new(server, now),
+            key_history: key_history::KeyHistory::new(server, now),
             leaving: false,
         }
     }
 
     /// Declares that no earlier process of this server can have run a key.
-    pub fn trust_memory(&mut self) {
-        self.trust.trust();
+    pub fn mark_history_complete(&mut self) {
+        self.key_history.mark_complete();
     }
 
     /// Notes that the server joined its service `ago`, when others had run keys for it before.
-    pub fn join(&mut self, ago: time::Duration, now: time::Instant) {
-        self.trust.join(ago, now);
+    pub fn record_join(&mut self, ago: time::Duration, now: time::Instant) {
+        self.key_history.record_join(ago, now);
     }
 
     /// Changes the time for which records are kept and unknown keys held back.
@@ -140,7 +140,7 @@
 
     /// Time until unknown keys are accepted; zero if they are now.
     pub fn held_back(&self, now: time::Instant) -> time::Duration {
-        self.trust.held_back(self.limits.window, now)
+        self.key_history.held_back(self.limits.window, now)
     }
 
     /// What the next process of this server needs; `None` while this gate is unsure itself.
@@ -173,7 +173,7 @@
     ) {
         let window = self.limits.window.min(time::Duration::from_millis(handover.window_ms));
         if away < window / 2 {
-            self.trust_memory();
+            self.mark_history_complete();
         }
         for record in &handover.records {
             let age = time::Duration::from_millis(record.age_ms) + away;
@@ -199,12 +199,12 @@
         is_gone: impl Fn(&str) -> bool,
         now: time::Instant,
     ) {
-        self.trust.observe(listed, is_gone, self.limits.window, now);
+        self.key_history.observe(listed, is_gone, self.limits.window, now);
     }
 
     /// Notes a server that left the service `ago`, before this process could see it.
-    pub fn note_removed(&mut self, server: &str, ago: time::Duration, now: time::Instant) {
-        self.trust.note_removed(server, ago, self.limits.window, now);
+    pub fn record_removal(&mut self, server: &str, ago: time::Duration, now: time::Instant) {
+        self.key_history.record_removal(server, ago, self.limits.window, now);
     }
 
     /// Refuses new work from now on.
@@ -275,7 +275,7 @@
     }
 
     fn refuse_key(&self, key: ids::KeyHash, now: time::Instant) -> Option<Refusal> {
-        let refusal = self.trust.refuse(key, self.limits.window, now);
+        let refusal = self.key_history.check(key, self.limits.window, now);
         let is_full = self.keys.len() >= self.limits.max_keys;
         refusal.or(is_full.then(|| Refusal::not_run(Reason::RecordsFull, RETRY_SOON)))
     }
@@ -433,7 +433,7 @@
     /// Drops old tombstones, and notes that this process moves.
     pub fn tick(&mut self, now: time::Instant) {
         let window = self.limits.window;
-        self.trust.tick(window, now);
+        self.key_history.tick(window, now);
         while let Some(run) = first_due(&self.tomb_times, window, now) {
             self.tomb_times.pop_first();
             self.tombs.remove(&run);
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -21,7 +21,7 @@
 /// A gate of `yard-1` that has seen all of `count` servers and remembers everything.
 fn open(count: usize, now: time::Instant) -> gate::Gate {
     let mut gate = gate::Gate::new("yard-1".into(), limits(), now);
-    gate.trust_memory();
+    gate.mark_history_complete();
     gate.observe(&names(count), |_| false, now);
     gate
 }
@@ -213,7 +213,7 @@
 fn joined_lately() {
     let now = time::Instant::now();
     let mut gate = open(1, now);
-    gate.join(WINDOW - SECOND, now);
+    gate.record_join(WINDOW - SECOND, now);
     assert_eq!(refusal(gate.offer(offer(1, Some(5), now), now)).0, Reason::KeyUncertain);
     let later = now + SECOND;
     assert_eq!(gate.offer(offer(2, Some(5), later), later), gate::Verdict::Accept);
@@ -224,7 +224,7 @@
     let now = time::Instant::now();
     let mut gate = open(1, now);
     let key = key_for(&["yard-2", "yard-1"]);
-    gate.note_removed("yard-2", SECOND, now);
+    gate.record_removal("yard-2", SECOND, now);
     assert_eq!(refusal(gate.offer(offer(1, Some(key), now), now)).0, Reason::KeyUncertain);
     let later = now + WINDOW;
     assert_eq!(gate.offer(offer(2, Some(key), later), later), gate::Verdict::Accept);
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -92,7 +92,7 @@
         let now = time::Instant::now() + WINDOW * 10;
         let servers = NAMES.iter().map(|name| {
             let mut gate = gate::Gate::new(name.to_string(), limits(), now);
-            gate.trust_memory();
+            gate.mark_history_complete();
             Server { gate: Some(gate), incarnation: 0, paused: false, handed_over: None }
         });
         let mut world = World {
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -77,7 +77,7 @@
 fn open_gate(now: time::Instant) -> gate::Gate {
     let mut gate = gate::Gate::new("yard-1".into(), limits(), now);
     gate.observe(&["yard-1".to_string()], |_| false, now);
-    gate.trust_memory();
+    gate.mark_history_complete();
     gate
 }
 
