--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -57,10 +57,10 @@
         return Admission::Refuse(refusal);
     }
     match state.gate.offer(offer, now) {
-        gate::Verdict::Accept => {}
-        gate::Verdict::Duplicate => return Admission::Ignore,
-        gate::Verdict::Answered(old) => return Admission::Replay(old),
-        gate::Verdict::Refuse(refusal) => return Admission::Refuse(refusal),
+        gate::Decision::Accept => {}
+        gate::Decision::Duplicate => return Admission::Ignore,
+        gate::Decision::Answered(old) => return Admission::Replay(old),
+        gate::Decision::Refuse(refusal) => return Admission::Refuse(refusal),
     }
     if offer.key.is_some() && state.kept_bytes >= agent.settings.max_answers {
         state.gate.withdraw(offer.run, now);
@@ -223,7 +223,7 @@
     state.waiting.remove(&resume.run);
     drop(state);
     let refusal = match settled {
-        gate::Settled::NotRun => Refusal::not_run(Reason::Withdrawn, RETRY_SOON),
+        gate::Withdrawal::NotRun => Refusal::not_run(Reason::Withdrawn, RETRY_SOON),
         _ => Refusal::unknown(Reason::LostContact, RETRY_SOON),
     };
     refuse(agent, resume.run, refusal, sender);
@@ -236,10 +236,10 @@
     let mut state = agent.lock();
     state.waiting.remove(&run);
     match state.gate.withdraw(run, now) {
-        gate::Settled::NotRun => state.rooms.release(run, now),
-        gate::Settled::Ended => {}
-        gate::Settled::Running if !state.gate.is_cancellable(run) => {}
-        gate::Settled::Running => {
+        gate::Withdrawal::NotRun => state.rooms.release(run, now),
+        gate::Withdrawal::Ended => {}
+        gate::Withdrawal::Running if !state.gate.is_cancellable(run) => {}
+        gate::Withdrawal::Running => {
             drop(state);
             agent.metrics.cancelled.inc();
             return stop_run(agent, run);
@@ -254,7 +254,7 @@
     let now = clock::now();
     let mut state = agent.lock();
     state.waiting.remove(&run);
-    if state.gate.withdraw(run, now) == gate::Settled::NotRun {
+    if state.gate.withdraw(run, now) == gate::Withdrawal::NotRun {
         state.rooms.release(run, now);
         return;
     }
@@ -286,7 +286,7 @@
             }
         }
         Err(refusal) if refusal.outcome == outcome::Outcome::NotRun => {
-            state.gate.undo(run, now);
+            state.gate.mark_not_executed(run, now);
             state.drop_output(run);
         }
         Err(_) => state.gate.finish(run, false, now),
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -25,14 +25,14 @@
     /// Handed to the backend server.
     Started,
     /// Ended with the whole answer.
-    Whole,
+    Completed,
     /// Ended without the whole answer; it may have run.
-    Broken,
+    Interrupted,
 }
 
 /// Answer of the gate to an offered run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The run may go on to [`Gate::start`].
     Accept,
     /// The same run was offered before; nothing is to be done.
@@ -45,7 +45,7 @@
 
 /// What the gate knows of a run that an entry asks to settle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Withdrawal {
     /// The run did not start and never will.
     NotRun,
     /// The run has started and goes on.
@@ -148,7 +148,7 @@
         let ended = self.keys.iter().filter_map(|(key, run)| {
             let record = &self.runs[run];
             let age = now.saturating_duration_since(record.ended_at?);
-            let whole = record.progress == Progress::Whole;
+            let whole = record.progress == Progress::Completed;
             Some(handover::KeyRecord {
                 key: *key,
                 run: *run,
@@ -177,7 +177,7 @@
         }
         for record in &handover.records {
             let age = time::Duration::from_millis(record.age_ms) + away;
-            let progress = if record.whole { Progress::Whole } else { Progress::Broken };
+            let progress = if record.whole { Progress::Completed } else { Progress::Interrupted };
             let run = Run {
                 key: Some(record.key),
                 cancellable: false,
@@ -218,43 +218,43 @@
     }
 
     /// Decides on an offered run.
-    pub fn offer(&mut self, offer: Offer, now: time::Instant) -> Verdict {
+    pub fn offer(&mut self, offer: Offer, now: time::Instant) -> Decision {
         match self.tombs.get(&offer.run) {
             Some(Tomb::NeverRan) => {
-                return Verdict::Refuse(Refusal::not_run(Reason::Withdrawn, RETRY_SOON));
+                return Decision::Refuse(Refusal::not_run(Reason::Withdrawn, RETRY_SOON));
             }
             Some(Tomb::Ran) => {
-                return Verdict::Refuse(Refusal::unknown(Reason::LostContact, RETRY_SOON));
+                return Decision::Refuse(Refusal::unknown(Reason::LostContact, RETRY_SOON));
             }
             None => {}
         }
         if self.runs.contains_key(&offer.run) {
-            return Verdict::Duplicate;
+            return Decision::Duplicate;
         }
         if let Some(key) = offer.key
-            && let Some(verdict) = self.recall(key, now)
+            && let Some(decision) = self.recall(key, now)
         {
-            return verdict;
+            return decision;
         }
         if let Some(refusal) = self.refuse_new(&offer, now) {
-            return Verdict::Refuse(refusal);
+            return Decision::Refuse(refusal);
         }
         self.record(offer);
-        Verdict::Accept
+        Decision::Accept
     }
 
-    fn recall(&self, key: ids::KeyHash, now: time::Instant) -> Option<Verdict> {
+    fn recall(&self, key: ids::KeyHash, now: time::Instant) -> Option<Decision> {
         let run = *self.keys.get(&key)?;
         let record = &self.runs[&run];
         Some(match record.progress {
-            Progress::Whole => Verdict::Answered(run),
+            Progress::Completed => Decision::Answered(run),
             Progress::Accepted | Progress::Started => {
-                Verdict::Refuse(Refusal::unknown(Reason::KeyRunning, RETRY_SOON))
+                Decision::Refuse(Refusal::unknown(Reason::KeyRunning, RETRY_SOON))
             }
-            Progress::Broken => {
+            Progress::Interrupted => {
                 let forget = record.ended_at.unwrap_or(now) + self.limits.window;
                 let retry = forget.saturating_duration_since(now);
-                Verdict::Refuse(Refusal::unknown(Reason::KeyUncertain, retry))
+                Decision::Refuse(Refusal::unknown(Reason::KeyUncertain, retry))
             }
         })
     }
@@ -319,7 +319,7 @@
         if let Some(record) = self.runs.get_mut(&run)
             && record.ended_at.is_none()
         {
-            record.progress = if whole { Progress::Whole } else { Progress::Broken };
+            record.progress = if whole { Progress::Completed } else { Progress::Interrupted };
             record.ended_at = Some(now);
             if let Some(lost_at) = record.lost_at {
                 self.lost.remove(&(lost_at, run));
@@ -330,7 +330,7 @@
     }
 
     /// Notes that the backend server provably refused the run before running it.
-    pub fn undo(&mut self, run: ids::RunId, now: time::Instant) {
+    pub fn mark_not_executed(&mut self, run: ids::RunId, now: time::Instant) {
         if let Some(record) = self.runs.get_mut(&run) {
             record.progress = Progress::Accepted;
         }
@@ -338,16 +338,16 @@
     }
 
     /// Settles a run: one that has not started is refused for good.
-    pub fn withdraw(&mut self, run: ids::RunId, now: time::Instant) -> Settled {
+    pub fn withdraw(&mut self, run: ids::RunId, now: time::Instant) -> Withdrawal {
         match self.runs.get(&run).map(|record| record.progress) {
-            Some(Progress::Started) => return Settled::Running,
-            Some(Progress::Whole | Progress::Broken) => return Settled::Ended,
+            Some(Progress::Started) => return Withdrawal::Running,
+            Some(Progress::Completed | Progress::Interrupted) => return Withdrawal::Ended,
             Some(Progress::Accepted) => self.forget(run),
-            None if self.tombs.get(&run) == Some(&Tomb::Ran) => return Settled::Ended,
+            None if self.tombs.get(&run) == Some(&Tomb::Ran) => return Withdrawal::Ended,
             None => {}
         }
         self.bury(run, Tomb::NeverRan, now);
-        Settled::NotRun
+        Withdrawal::NotRun
     }
 
     // Refuses the id of a run from now on.
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -37,9 +37,9 @@
     gate::Offer { run, key, start_by: now + 10 * SECOND, cancellable: key.is_none() }
 }
 
-fn refusal(verdict: gate::Verdict) -> (Reason, Outcome) {
+fn refusal(verdict: gate::Decision) -> (Reason, Outcome) {
     match verdict {
-        gate::Verdict::Refuse(refusal) => (refusal.reason, refusal.outcome),
+        gate::Decision::Refuse(refusal) => (refusal.reason, refusal.outcome),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -48,7 +48,7 @@
 fn late_original() {
     let now = time::Instant::now();
     let mut gate = open(1, now);
-    assert_eq!(gate.withdraw(1, now), gate::Settled::NotRun);
+    assert_eq!(gate.withdraw(1, now), gate::Withdrawal::NotRun);
     let verdict = gate.offer(offer(1, None, now), now + SECOND);
     assert_eq!(refusal(verdict), (Reason::Withdrawn, Outcome::NotRun));
 }
@@ -57,10 +57,10 @@
 fn withdrawn_between() {
     let now = time::Instant::now();
     let mut gate = open(1, now);
-    assert_eq!(gate.offer(offer(1, Some(5), now), now), gate::Verdict::Accept);
-    assert_eq!(gate.withdraw(1, now), gate::Settled::NotRun);
+    assert_eq!(gate.offer(offer(1, Some(5), now), now), gate::Decision::Accept);
+    assert_eq!(gate.withdraw(1, now), gate::Withdrawal::NotRun);
     assert_eq!(gate.start(1, now).unwrap_err().outcome, Outcome::NotRun);
-    assert_eq!(gate.offer(offer(2, Some(5), now), now), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(2, Some(5), now), now), gate::Decision::Accept);
 }
 
 #[test]
@@ -87,9 +87,9 @@
     let mut gate = open(1, now);
     gate.offer(offer(1, None, now), now);
     gate.start(1, now).unwrap();
-    assert_eq!(gate.withdraw(1, now), gate::Settled::Running);
+    assert_eq!(gate.withdraw(1, now), gate::Withdrawal::Running);
     gate.finish(1, true, now);
-    assert_eq!(gate.withdraw(1, now), gate::Settled::Ended);
+    assert_eq!(gate.withdraw(1, now), gate::Withdrawal::Ended);
 }
 
 #[test]
@@ -101,10 +101,10 @@
     assert_eq!(refusal(running), (Reason::KeyRunning, Outcome::Unknown));
     gate.start(1, now).unwrap();
     gate.finish(1, true, now);
-    assert_eq!(gate.offer(offer(3, Some(5), now), now), gate::Verdict::Answered(1));
+    assert_eq!(gate.offer(offer(3, Some(5), now), now), gate::Decision::Answered(1));
     gate.leave();
     let again = gate.offer(offer(4, Some(5), now), now);
-    assert_eq!(again, gate::Verdict::Answered(1), "also while leaving");
+    assert_eq!(again, gate::Decision::Answered(1), "also while leaving");
 }
 
 #[test]
@@ -124,8 +124,8 @@
     let mut gate = open(1, now);
     gate.offer(offer(1, Some(5), now), now);
     gate.start(1, now).unwrap();
-    gate.undo(1, now);
-    assert_eq!(gate.offer(offer(2, Some(5), now), now), gate::Verdict::Accept);
+    gate.mark_not_executed(1, now);
+    assert_eq!(gate.offer(offer(2, Some(5), now), now), gate::Decision::Accept);
     let old = gate.offer(offer(1, Some(5), now), now);
     assert_eq!(refusal(old).0, Reason::Withdrawn);
 }
@@ -137,9 +137,9 @@
     gate.observe(&names(1), |_| false, now);
     let verdict = gate.offer(offer(1, Some(5), now), now);
     assert_eq!(refusal(verdict), (Reason::KeyUncertain, Outcome::Unknown));
-    assert_eq!(gate.offer(offer(2, None, now), now), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(2, None, now), now), gate::Decision::Accept);
     let later = now + WINDOW;
-    assert_eq!(gate.offer(offer(3, Some(5), later), later), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(3, Some(5), later), later), gate::Decision::Accept);
 }
 
 #[test]
@@ -152,8 +152,8 @@
     let mut new = gate::Gate::new("yard-1".into(), limits(), now);
     new.import(&old.export(now).unwrap(), SECOND, now);
     new.observe(&names(1), |_| false, now);
-    assert_eq!(new.offer(offer(2, Some(5), now), now), gate::Verdict::Answered(1));
-    assert_eq!(new.offer(offer(3, Some(6), now), now), gate::Verdict::Accept);
+    assert_eq!(new.offer(offer(2, Some(5), now), now), gate::Decision::Answered(1));
+    assert_eq!(new.offer(offer(3, Some(6), now), now), gate::Decision::Accept);
     assert_eq!(new.next_expired(now + WINDOW - SECOND), Some(1), "kept for the window, no longer");
 }
 
@@ -182,7 +182,7 @@
     let held = gate.offer(offer(2, Some(key), now), now + SECOND);
     assert_eq!(refusal(held), (Reason::KeyUncertain, Outcome::Unknown));
     let later = now + WINDOW;
-    assert_eq!(gate.offer(offer(3, Some(key), later), later), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(3, Some(key), later), later), gate::Decision::Accept);
 }
 
 #[test]
@@ -202,7 +202,7 @@
     gate.tick(now);
     gate.tick(now + WINDOW / 3);
     let later = now + WINDOW / 3;
-    assert_eq!(gate.offer(offer(1, Some(5), later), later), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(1, Some(5), later), later), gate::Decision::Accept);
     let woken = later + WINDOW / 2;
     gate.tick(woken);
     let verdict = gate.offer(offer(2, Some(6), woken), woken);
@@ -216,7 +216,7 @@
     gate.record_join(WINDOW - SECOND, now);
     assert_eq!(refusal(gate.offer(offer(1, Some(5), now), now)).0, Reason::KeyUncertain);
     let later = now + SECOND;
-    assert_eq!(gate.offer(offer(2, Some(5), later), later), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(2, Some(5), later), later), gate::Decision::Accept);
 }
 
 #[test]
@@ -227,7 +227,7 @@
     gate.record_removal("yard-2", SECOND, now);
     assert_eq!(refusal(gate.offer(offer(1, Some(key), now), now)).0, Reason::KeyUncertain);
     let later = now + WINDOW;
-    assert_eq!(gate.offer(offer(2, Some(key), later), later), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(2, Some(key), later), later), gate::Decision::Accept);
 }
 
 #[test]
@@ -235,11 +235,11 @@
     let now = time::Instant::now();
     let mut gate = open(1, now);
     for run in 1..=3 {
-        assert_eq!(gate.offer(offer(run, Some(run), now), now), gate::Verdict::Accept);
+        assert_eq!(gate.offer(offer(run, Some(run), now), now), gate::Decision::Accept);
     }
     let verdict = gate.offer(offer(4, Some(4), now), now);
     assert_eq!(refusal(verdict), (Reason::RecordsFull, Outcome::NotRun));
-    assert_eq!(gate.offer(offer(5, None, now), now), gate::Verdict::Accept);
+    assert_eq!(gate.offer(offer(5, None, now), now), gate::Decision::Accept);
 }
 
 #[test]
@@ -275,7 +275,7 @@
     gate.finish(1, true, now);
     let later = now + 2 * GRACE;
     assert_eq!(gate.next_expired(later), Some(1));
-    assert_eq!(gate.withdraw(1, later), gate::Settled::Ended, "it ran, though long ago");
+    assert_eq!(gate.withdraw(1, later), gate::Withdrawal::Ended, "it ran, though long ago");
     let verdict = gate.offer(offer(1, None, later), later);
     assert_eq!(refusal(verdict).1, Outcome::Unknown);
 }
@@ -291,14 +291,14 @@
         while gate.next_expired(now).is_some() {}
         if second % 300 == 0 {
             let run = u128::from(second) + 1;
-            assert_eq!(gate.offer(offer(run, Some(run), now), now), gate::Verdict::Accept);
+            assert_eq!(gate.offer(offer(run, Some(run), now), now), gate::Decision::Accept);
             gate.start(run, now).unwrap();
             gate.finish(run, true, now);
         }
         if second % 300 == 200 {
             let (run, key) = (u128::from(second) + 1, u128::from(second - 200) + 1);
             let again = gate.offer(offer(run, Some(key), now), now);
-            assert_eq!(again, gate::Verdict::Answered(key), "second {second}");
+            assert_eq!(again, gate::Decision::Answered(key), "second {second}");
         }
     }
     assert!(gate.key_count() <= 3, "records of the last window only");
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -173,11 +173,12 @@
             return;
         };
         match gate.offer(mail.offer, now) {
-            gate::Verdict::Accept => self.accepted.push(mail),
-            gate::Verdict::Refuse(refusal) if refusal.outcome == outcome::Outcome::NotRun => {
+            gate::Decision::Accept => self.accepted.push(mail),
+            gate::Decision::Refuse(refusal) if refusal.outcome == outcome::Outcome::NotRun => {
                 self.not_run.insert(mail.offer.run);
             }
-            gate::Verdict::Refuse(_) | gate::Verdict::Answered(_) | gate::Verdict::Duplicate => {}
+            gate::Decision::Refuse(_) | gate::Decision::Answered(_) | gate::Decision::Duplicate => {
+            }
         }
     }
 
@@ -221,7 +222,7 @@
         let Some(mail) = all.get(at % all.len().max(1)).copied() else { return };
         let now = self.now;
         if let Some(gate) = self.gate(&mail)
-            && gate.withdraw(mail.offer.run, now) == gate::Settled::NotRun
+            && gate.withdraw(mail.offer.run, now) == gate::Withdrawal::NotRun
         {
             self.not_run.insert(mail.offer.run);
         }
