--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,4 +1,5 @@
-//! The gate before one backend server: what an agent accepts, runs, remembers and refuses.
+//! Admission gate of one agent: which runs its backend server may start, and the records that
+//! keep an idempotency key from running twice.
 
 use std::{collections, time};
 
@@ -9,61 +10,62 @@
 /// Limits of a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time for which run records, key records and tombstones are kept.
+    /// Retention time of key records, and of tombstones.
     pub window: time::Duration,
-    /// Most key records kept at once; none is evicted before its window ends.
+    /// Maximum number of key records; none is evicted before its window ends.
     pub max_keys: usize,
-    /// Time after which a run whose entry is out of contact is cancelled.
+    /// Time after which a run whose entry has lost contact is cancelled; also the retention time
+    /// of ended runs without a key.
     pub orphan_grace: time::Duration,
 }
 
 /// Progress of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Accepted, and not yet handed to the backend server.
+    /// Accepted, but not yet sent to the backend server.
     Accepted,
-    /// Handed to the backend server.
+    /// Sent to the backend server.
     Started,
-    /// Ended with the whole answer.
+    /// Ended with a complete response.
     Completed,
-    /// Ended without the whole answer; it may have run.
+    /// Ended without a complete response; the backend server may have executed it.
     Interrupted,
 }
 
-/// Answer of the gate to an offered run.
+/// Decision on an offered run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The run may go on to [`Gate::start`].
+    /// The run is accepted and may continue with [`Gate::start`].
     Accept,
-    /// The same run was offered before; nothing is to be done.
+    /// The same run was offered before and needs no action.
     Duplicate,
-    /// The idempotency key was run whole by the named run.
+    /// The given run has already completed this idempotency key.
     Answered(ids::RunId),
     /// The run is refused.
     Refuse(Refusal),
 }
 
-/// What the gate knows of a run that an entry asks to settle.
+/// Result of withdrawing a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
     /// The run did not start and never will.
     NotRun,
-    /// The run has started and goes on.
+    /// The run has started and not ended.
     Running,
     /// The run has ended.
     Ended,
 }
 
-/// A request to run something.
+/// A run that an entry offers to the agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
     /// Id of the attempt.
     pub run: ids::RunId,
     /// Idempotency key, if any.
     pub key: Option<ids::KeyHash>,
-    /// Last moment at which the run may start.
+    /// Latest time at which the run may start.
     pub start_by: time::Instant,
-    /// Whether a started run may be cancelled when its caller is gone.
+    /// Whether a started run may be cancelled when its caller has disconnected.
     pub cancellable: bool,
 }
 
@@ -78,15 +80,15 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tomb {
-    NeverRan,
+enum Tombstone {
+    NotRun,
     Ran,
 }
 
-// A run and the moment from which its time counts.
-type Due = (time::Instant, ids::RunId);
+// A run and the time from which its retention or grace period counts.
+type TimedRun = (time::Instant, ids::RunId);
 
-/// Records of one agent.
+/// Admission gate of one agent, with its run records, key records and tombstones.
 ///
 /// A key runs here at most once while its record is kept. A key without a record is accepted
 /// only if no earlier process of this server, and no other server, can have run it.
@@ -95,26 +97,26 @@
     limits: Limits,
     runs: collections::BTreeMap<ids::RunId, Run>,
     keys: collections::BTreeMap<ids::KeyHash, ids::RunId>,
-    // Ids that are refused for good, and whether they ran.
-    tombs: collections::BTreeMap<ids::RunId, Tomb>,
-    // The runs that time acts on, oldest first, so that a sweep reads only what is due.
-    tomb_times: collections::BTreeSet<Due>,
-    lost: collections::BTreeSet<Due>,
-    ended: collections::BTreeSet<Due>,
-    ended_keys: collections::BTreeSet<Due>,
+    // Runs without a record that are refused if offered again, and whether they ran.
+    tombstones: collections::BTreeMap<ids::RunId, Tombstone>,
+    // Runs ordered by time, so that a sweep reads only those that are due.
+    tombstone_times: collections::BTreeSet<TimedRun>,
+    lost: collections::BTreeSet<TimedRun>,
+    ended: collections::BTreeSet<TimedRun>,
+    ended_keys: collections::BTreeSet<TimedRun>,
     key_history: key_history::KeyHistory,
     leaving: bool,
 }
 
 impl Gate {
-    /// Opens a gate whose memory starts at `now`: unknown keys are held back for the window.
+    /// Creates a gate without records; unknown keys are held back for one window from `now`.
     pub fn new(server: ids::ServerName, limits: Limits, now: time::Instant) -> Gate {
         Gate {
             limits,
             runs: collections::BTreeMap::new(),
             keys: collections::BTreeMap::new(),
-            tombs: collections::BTreeMap::new(),
-            tomb_times: collections::BTreeSet::new(),
+            tombstones: collections::BTreeMap::new(),
+            tombstone_times: collections::BTreeSet::new(),
             lost: collections::BTreeSet::new(),
             ended: collections::BTreeSet::new(),
             ended_keys: collections::BTreeSet::new(),
@@ -123,27 +125,28 @@
         }
     }
 
-    /// Declares that no earlier process of this server can have run a key.
+    /// Declares that no earlier process of this server can have run a key without a record here.
     pub fn mark_history_complete(&mut self) {
         self.key_history.mark_complete();
     }
 
-    /// Notes that the server joined its service `ago`, when others had run keys for it before.
+    /// Records that this server joined, `ago`, a service whose keys others had run before.
     pub fn record_join(&mut self, ago: time::Duration, now: time::Instant) {
         self.key_history.record_join(ago, now);
     }
 
-    /// Changes the time for which records are kept and unknown keys held back.
+    /// Sets the time for which records are kept and unknown keys are held back.
     pub fn set_window(&mut self, window: time::Duration) {
         self.limits.window = window;
     }
 
-    /// Time until unknown keys are accepted; zero if they are now.
+    /// Time until unknown keys are accepted; zero if they are accepted now.
     pub fn held_back(&self, now: time::Instant) -> time::Duration {
         self.key_history.held_back(self.limits.window, now)
     }
 
-    /// What the next process of this server needs; `None` while this gate is unsure itself.
+    /// Exports the key records for the next process of this server; `None` while unknown keys
+    /// are held back, because the records are incomplete.
     pub fn export(&self, now: time::Instant) -> Option<handover::Handover> {
         let ended = self.keys.iter().filter_map(|(key, run)| {
             let record = &self.runs[run];
@@ -157,26 +160,26 @@
             })
         });
         let window_ms = self.limits.window.as_millis() as u64;
-        let is_sure = self.held_back(now).is_zero();
-        is_sure.then(|| handover::Handover { records: ended.collect(), window_ms })
+        let is_complete = self.held_back(now).is_zero();
+        is_complete.then(|| handover::Handover { records: ended.collect(), window_ms })
     }
 
-    /// Takes over from the process before, which stopped in order `away` ago.
+    /// Imports the records of the previous process, which shut down cleanly `downtime` ago.
     ///
-    /// After half the window the memory is not trusted: other servers may have been told that
-    /// this one is gone, and run its keys.
+    /// After half the window or more the records count as incomplete: the platform may have
+    /// reported this server as gone, and other servers may have run its keys.
     pub fn import(
         &mut self,
         handover: &handover::Handover,
-        away: time::Duration,
+        downtime: time::Duration,
         now: time::Instant,
     ) {
         let window = self.limits.window.min(time::Duration::from_millis(handover.window_ms));
-        if away < window / 2 {
+        if downtime < window / 2 {
             self.mark_history_complete();
         }
         for record in &handover.records {
-            let age = time::Duration::from_millis(record.age_ms) + away;
+            let age = time::Duration::from_millis(record.age_ms) + downtime;
             let progress = if record.whole { Progress::Completed } else { Progress::Interrupted };
             let run = Run {
                 key: Some(record.key),
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Takes a new view of the servers of the service.
+    /// Updates the view of the servers of the service.
     pub fn observe(
         &mut self,
         listed: &[ids::ServerName],
@@ -202,7 +205,7 @@
         self.key_history.observe(listed, is_gone, self.limits.window, now);
     }
 
-    /// Notes a server that left the service `ago`, before this process could see it.
+    /// Records a server that left the service `ago`, before this process could observe it.
     pub fn record_removal(&mut self, server: &str, ago: time::Duration, now: time::Instant) {
         self.key_history.record_removal(server, ago, self.limits.window, now);
     }
@@ -217,13 +220,13 @@
         self.leaving
     }
 
-    /// Decides on an offered run.
+    /// Accepts or refuses an offered run.
     pub fn offer(&mut self, offer: Offer, now: time::Instant) -> Decision {
-        match self.tombs.get(&offer.run) {
-            Some(Tomb::NeverRan) => {
+        match self.tombstones.get(&offer.run) {
+            Some(Tombstone::NotRun) => {
                 return Decision::Refuse(Refusal::not_run(Reason::Withdrawn, RETRY_SOON));
             }
-            Some(Tomb::Ran) => {
+            Some(Tombstone::Ran) => {
                 return Decision::Refuse(Refusal::unknown(Reason::LostContact, RETRY_SOON));
             }
             None => {}
@@ -232,18 +235,18 @@
             return Decision::Duplicate;
         }
         if let Some(key) = offer.key
-            && let Some(decision) = self.recall(key, now)
+            && let Some(decision) = self.check_recorded_key(key, now)
         {
             return decision;
         }
-        if let Some(refusal) = self.refuse_new(&offer, now) {
+        if let Some(refusal) = self.check_new_run(&offer, now) {
             return Decision::Refuse(refusal);
         }
-        self.record(offer);
+        self.insert_run(offer);
         Decision::Accept
     }
 
-    fn recall(&self, key: ids::KeyHash, now: time::Instant) -> Option<Decision> {
+    fn check_recorded_key(&self, key: ids::KeyHash, now: time::Instant) -> Option<Decision> {
         let run = *self.keys.get(&key)?;
         let record = &self.runs[&run];
         Some(match record.progress {
@@ -252,16 +255,16 @@
                 Decision::Refuse(Refusal::unknown(Reason::KeyRunning, RETRY_SOON))
             }
             Progress::Interrupted => {
-                let forget = record.ended_at.unwrap_or(now) + self.limits.window;
-                let retry = forget.saturating_duration_since(now);
+                let expires_at = record.ended_at.unwrap_or(now) + self.limits.window;
+                let retry = expires_at.saturating_duration_since(now);
                 Decision::Refuse(Refusal::unknown(Reason::KeyUncertain, retry))
             }
         })
     }
 
-    fn refuse_new(&self, offer: &Offer, now: time::Instant) -> Option<Refusal> {
+    fn check_new_run(&self, offer: &Offer, now: time::Instant) -> Option<Refusal> {
         if let Some(key) = offer.key
-            && let Some(refusal) = self.refuse_key(key, now)
+            && let Some(refusal) = self.check_new_key(key, now)
         {
             return Some(refusal);
         }
@@ -274,13 +277,13 @@
         None
     }
 
-    fn refuse_key(&self, key: ids::KeyHash, now: time::Instant) -> Option<Refusal> {
+    fn check_new_key(&self, key: ids::KeyHash, now: time::Instant) -> Option<Refusal> {
         let refusal = self.key_history.check(key, self.limits.window, now);
         let is_full = self.keys.len() >= self.limits.max_keys;
         refusal.or(is_full.then(|| Refusal::not_run(Reason::RecordsFull, RETRY_SOON)))
     }
 
-    fn record(&mut self, offer: Offer) {
+    fn insert_run(&mut self, offer: Offer) {
         let run = Run {
             key: offer.key,
             cancellable: offer.cancellable,
@@ -295,10 +298,11 @@
         }
     }
 
-    /// Last check, made immediately before the run is handed to the backend server.
+    /// Makes the last check, immediately before the run is sent to the backend server.
     ///
     /// # Errors
-    /// Returns why the run must not start; it is then forgotten and its id refused for good.
+    /// Returns why the run must not start. A run that is too late loses its record and is refused
+    /// if offered again.
     pub fn start(&mut self, run: ids::RunId, now: time::Instant) -> Result<(), Refusal> {
         let Some(record) = self.runs.get_mut(&run) else {
             return Err(Refusal::not_run(Reason::Withdrawn, RETRY_SOON));
@@ -314,12 +318,12 @@
         Ok(())
     }
 
-    /// Notes the end of a run; `whole` tells whether its whole answer is stored.
-    pub fn finish(&mut self, run: ids::RunId, whole: bool, now: time::Instant) {
+    /// Records the end of a run; `complete` says whether its complete response is stored.
+    pub fn finish(&mut self, run: ids::RunId, complete: bool, now: time::Instant) {
         if let Some(record) = self.runs.get_mut(&run)
             && record.ended_at.is_none()
         {
-            record.progress = if whole { Progress::Completed } else { Progress::Interrupted };
+            record.progress = if complete { Progress::Completed } else { Progress::Interrupted };
             record.ended_at = Some(now);
             if let Some(lost_at) = record.lost_at {
                 self.lost.remove(&(lost_at, run));
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Notes that the backend server provably refused the run before running it.
+    /// Records that the backend server provably refused the run before executing it.
     pub fn mark_not_executed(&mut self, run: ids::RunId, now: time::Instant) {
         if let Some(record) = self.runs.get_mut(&run) {
             record.progress = Progress::Accepted;
@@ -337,27 +341,27 @@
         self.withdraw(run, now);
     }
 
-    /// Settles a run: one that has not started is refused for good.
+    /// Withdraws a run: one that has not started never will.
     pub fn withdraw(&mut self, run: ids::RunId, now: time::Instant) -> Withdrawal {
         match self.runs.get(&run).map(|record| record.progress) {
             Some(Progress::Started) => return Withdrawal::Running,
             Some(Progress::Completed | Progress::Interrupted) => return Withdrawal::Ended,
-            Some(Progress::Accepted) => self.forget(run),
-            None if self.tombs.get(&run) == Some(&Tomb::Ran) => return Withdrawal::Ended,
+            Some(Progress::Accepted) => self.remove_run(run),
+            None if self.tombstones.get(&run) == Some(&Tombstone::Ran) => return Withdrawal::Ended,
             None => {}
         }
-        self.bury(run, Tomb::NeverRan, now);
+        self.insert_tombstone(run, Tombstone::NotRun, now);
         Withdrawal::NotRun
     }
 
-    // Refuses the id of a run from now on.
-    fn bury(&mut self, run: ids::RunId, tomb: Tomb, now: time::Instant) {
-        if self.tombs.insert(run, tomb).is_none() {
-            self.tomb_times.insert((now, run));
+    // Refuses `run` from now on, until the tombstone expires.
+    fn insert_tombstone(&mut self, run: ids::RunId, tombstone: Tombstone, now: time::Instant) {
+        if self.tombstones.insert(run, tombstone).is_none() {
+            self.tombstone_times.insert((now, run));
         }
     }
 
-    fn forget(&mut self, run: ids::RunId) {
+    fn remove_run(&mut self, run: ids::RunId) {
         let Some(record) = self.runs.remove(&run) else { return };
         if let Some(key) = record.key {
             self.keys.remove(&key);
@@ -376,17 +380,17 @@
         self.runs.get(&run).map(|record| record.progress)
     }
 
-    /// Whether `run` runs an idempotency key.
+    /// Whether `run` has an idempotency key.
     pub fn has_key(&self, run: ids::RunId) -> bool {
         self.runs.get(&run).is_some_and(|record| record.key.is_some())
     }
 
-    /// Whether `run` may be cancelled when its caller is gone.
+    /// Whether `run` may be cancelled when its caller has disconnected.
     pub fn is_cancellable(&self, run: ids::RunId) -> bool {
         self.runs.get(&run).is_some_and(|record| record.cancellable)
     }
 
-    /// Notes that contact with the entry of `run` is lost.
+    /// Records that the entry of `run` has lost contact.
     pub fn lose_contact(&mut self, run: ids::RunId, now: time::Instant) {
         if let Some(record) = self.runs.get_mut(&run)
             && record.ended_at.is_none()
@@ -397,7 +401,7 @@
         }
     }
 
-    /// Notes that an entry has taken up `run` again; false if no record is kept.
+    /// Records that an entry has resumed `run`; false if no record is kept.
     pub fn resume(&mut self, run: ids::RunId) -> bool {
         let Some(record) = self.runs.get_mut(&run) else { return false };
         if let Some(lost_at) = record.lost_at.take() {
@@ -406,9 +410,9 @@
         true
     }
 
-    /// Next unended run whose entry has been out of contact for longer than the grace.
+    /// Next unfinished run whose entry lost contact at least the grace period ago.
     ///
-    /// Runs that may not be cancelled are left to end.
+    /// Runs that may not be cancelled are skipped and run to their end.
     pub fn next_orphan(&mut self, now: time::Instant) -> Option<ids::RunId> {
         while let Some((lost_at, run)) = self.lost.first().copied()
             && now >= lost_at + self.limits.orphan_grace
@@ -421,22 +425,23 @@
         None
     }
 
-    /// Next ended run whose record may be dropped; the caller drops the stored answer too.
+    /// Removes and returns the next ended run whose record has expired; the caller of this
+    /// function must drop the stored response too.
     pub fn next_expired(&mut self, now: time::Instant) -> Option<ids::RunId> {
         let keyed = first_due(&self.ended_keys, self.limits.window, now);
         let run = keyed.or_else(|| first_due(&self.ended, self.limits.orphan_grace, now))?;
-        self.forget(run);
-        self.bury(run, Tomb::Ran, now);
+        self.remove_run(run);
+        self.insert_tombstone(run, Tombstone::Ran, now);
         Some(run)
     }
 
-    /// Drops old tombstones, and notes that this process moves.
+    /// Drops expired tombstones and detects pauses of this process; to be called regularly.
     pub fn tick(&mut self, now: time::Instant) {
         let window = self.limits.window;
         self.key_history.tick(window, now);
-        while let Some(run) = first_due(&self.tomb_times, window, now) {
-            self.tomb_times.pop_first();
-            self.tombs.remove(&run);
+        while let Some(run) = first_due(&self.tombstone_times, window, now) {
+            self.tombstone_times.pop_first();
+            self.tombstones.remove(&run);
         }
     }
 
@@ -445,19 +450,19 @@
         self.runs.get(&run).is_some_and(|record| record.ended_at.is_none())
     }
 
-    /// Runs that have not ended.
+    /// Number of runs that have not ended.
     pub fn open_runs(&self) -> usize {
         self.runs.len() - self.ended.len() - self.ended_keys.len()
     }
 
-    /// Key records kept.
+    /// Number of key records.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 }
 
 fn first_due(
-    times: &collections::BTreeSet<Due>,
+    times: &collections::BTreeSet<TimedRun>,
     wait: time::Duration,
     now: time::Instant,
 ) -> Option<ids::RunId> {
