--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/once.rs
@@ -1,4 +1,5 @@
-//! At most one run of an idempotency key, whatever fails, against the real gate and members.
+//! At-most-once execution of idempotency keys under random faults: crashes, restarts, pauses, lost
+//! messages and a lagging instance list, simulated around the real `Gate` and `Members`.
 
 mod random;
 
@@ -10,7 +11,7 @@
 
 const WINDOW: time::Duration = time::Duration::from_secs(100);
 const DEADLINE: time::Duration = time::Duration::from_secs(20);
-/// Every process that is not paused reads the instance list at least this often.
+/// Longest interval between two reads of the instance list by a process that is not paused.
 const REFRESH: time::Duration = time::Duration::from_secs(5);
 const NAMES: [&str; 3] = ["yard-1", "yard-2", "yard-3"];
 const KEYS: u128 = 6;
@@ -24,10 +25,10 @@
     Withdraw(usize),
     Crash(usize),
     Restart(usize),
-    StopInOrder(usize),
+    Shutdown(usize),
     Pause(usize),
     Resume(usize),
-    DropFromList(usize),
+    Unlist(usize),
     Advance(u64),
 }
 
@@ -42,10 +43,10 @@
         2 => any().prop_map(Op::Withdraw),
         2 => server().prop_map(Op::Crash),
         3 => server().prop_map(Op::Restart),
-        2 => server().prop_map(Op::StopInOrder),
+        2 => server().prop_map(Op::Shutdown),
         2 => server().prop_map(Op::Pause),
         3 => server().prop_map(Op::Resume),
-        2 => server().prop_map(Op::DropFromList),
+        2 => server().prop_map(Op::Unlist),
         6 => (1..4u64).prop_map(Op::Advance),
         1 => (5..130u64).prop_map(Op::Advance),
     ]
@@ -59,22 +60,22 @@
 }
 
 #[derive(Clone, Copy)]
-struct Mail {
+struct Message {
     server: usize,
     incarnation: u64,
     offer: gate::Offer,
 }
 
-struct World {
+struct Simulation {
     now: time::Instant,
     servers: Vec<Server>,
     listed: [bool; 3],
     entries: Vec<owner::Members>,
-    mail: Vec<Mail>,
-    accepted: Vec<Mail>,
-    started: Vec<Mail>,
+    in_transit: Vec<Message>,
+    accepted: Vec<Message>,
+    started: Vec<Message>,
     next_run: u64,
-    first: collections::BTreeMap<u128, time::Instant>,
+    first_calls: collections::BTreeMap<u128, time::Instant>,
     ran: collections::BTreeMap<u128, time::Instant>,
     not_run: collections::BTreeSet<ids::RunId>,
 }
@@ -87,29 +88,29 @@
     NAMES.iter().map(|name| name.to_string()).collect()
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let now = time::Instant::now() + WINDOW * 10;
         let servers = NAMES.iter().map(|name| {
             let mut gate = gate::Gate::new(name.to_string(), limits(), now);
             gate.mark_history_complete();
             Server { gate: Some(gate), incarnation: 0, paused: false, handed_over: None }
         });
-        let mut world = World {
+        let mut simulation = Simulation {
             now,
             servers: servers.collect(),
             listed: [true; 3],
             entries: vec![owner::Members::default(); 2],
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             accepted: Vec::new(),
             started: Vec::new(),
             next_run: 0,
-            first: collections::BTreeMap::new(),
+            first_calls: collections::BTreeMap::new(),
             ran: collections::BTreeMap::new(),
             not_run: collections::BTreeSet::new(),
         };
-        world.refresh();
-        world
+        simulation.refresh();
+        simulation
     }
 
     fn refresh(&mut self) {
@@ -140,7 +141,7 @@
     }
 
     fn call(&mut self, entry: usize, key: u128) {
-        let first = *self.first.entry(key).or_insert(self.now);
+        let first = *self.first_calls.entry(key).or_insert(self.now);
         // Callers repeat a key only within the window.
         if self.now + DEADLINE > first + WINDOW {
             return;
@@ -152,30 +153,30 @@
         let start_by = self.now + DEADLINE;
         let offer = gate::Offer { run, key: Some(key), start_by, cancellable: false };
         let incarnation = self.servers[server].incarnation;
-        self.mail.push(Mail { server, incarnation, offer });
+        self.in_transit.push(Message { server, incarnation, offer });
     }
 
-    // The gate that a message reaches, if its connection and process still live.
-    fn gate(&mut self, mail: &Mail) -> Option<&mut gate::Gate> {
-        let server = &mut self.servers[mail.server];
-        let is_there = server.incarnation == mail.incarnation && !server.paused;
-        server.gate.as_mut().filter(|_| is_there)
+    // The gate that a message reaches; `None` if its process is paused or has restarted since.
+    fn gate(&mut self, message: &Message) -> Option<&mut gate::Gate> {
+        let server = &mut self.servers[message.server];
+        let is_reachable = server.incarnation == message.incarnation && !server.paused;
+        server.gate.as_mut().filter(|_| is_reachable)
     }
 
     fn deliver(&mut self, at: usize) {
-        let Some(mail) = take(&mut self.mail, at) else { return };
+        let Some(message) = remove_at(&mut self.in_transit, at) else { return };
         let now = self.now;
-        let Some(gate) = self.gate(&mail) else {
-            // It waits in the socket of a paused process, and is lost with a dead one.
-            if self.servers[mail.server].incarnation == mail.incarnation {
-                self.mail.push(mail);
+        let Some(gate) = self.gate(&message) else {
+            // The message stays in the socket of a paused process and is lost with a crashed one.
+            if self.servers[message.server].incarnation == message.incarnation {
+                self.in_transit.push(message);
             }
             return;
         };
-        match gate.offer(mail.offer, now) {
-            gate::Decision::Accept => self.accepted.push(mail),
+        match gate.offer(message.offer, now) {
+            gate::Decision::Accept => self.accepted.push(message),
             gate::Decision::Refuse(refusal) if refusal.outcome == outcome::Outcome::NotRun => {
-                self.not_run.insert(mail.offer.run);
+                self.not_run.insert(message.offer.run);
             }
             gate::Decision::Refuse(_) | gate::Decision::Answered(_) | gate::Decision::Duplicate => {
             }
@@ -183,48 +184,51 @@
     }
 
     fn start(&mut self, at: usize) -> Result<(), String> {
-        let Some(mail) = take(&mut self.accepted, at) else { return Ok(()) };
+        let Some(message) = remove_at(&mut self.accepted, at) else { return Ok(()) };
         let now = self.now;
-        let Some(gate) = self.gate(&mail) else {
-            if self.servers[mail.server].incarnation == mail.incarnation {
-                self.accepted.push(mail);
+        let Some(gate) = self.gate(&message) else {
+            if self.servers[message.server].incarnation == message.incarnation {
+                self.accepted.push(message);
             }
             return Ok(());
         };
-        if let Err(refusal) = gate.start(mail.offer.run, now) {
+        if let Err(refusal) = gate.start(message.offer.run, now) {
             if refusal.outcome == outcome::Outcome::NotRun {
-                self.not_run.insert(mail.offer.run);
+                self.not_run.insert(message.offer.run);
             }
             return Ok(());
         }
-        if self.not_run.contains(&mail.offer.run) {
-            return Err(format!("run {:x} started after «not run»", mail.offer.run));
+        if self.not_run.contains(&message.offer.run) {
+            return Err(format!(
+                "run {:x} started after it was reported as not run",
+                message.offer.run
+            ));
         }
-        let key = mail.offer.key.unwrap();
+        let key = message.offer.key.unwrap();
         if let Some(before) = self.ran.insert(key, now) {
             return Err(format!("key {key} ran twice, {:?} apart", now - before));
         }
-        self.started.push(mail);
+        self.started.push(message);
         Ok(())
     }
 
     fn finish(&mut self, at: usize) {
-        let Some(mail) = take(&mut self.started, at) else { return };
+        let Some(message) = remove_at(&mut self.started, at) else { return };
         let now = self.now;
-        if let Some(gate) = self.gate(&mail) {
-            gate.finish(mail.offer.run, true, now);
+        if let Some(gate) = self.gate(&message) {
+            gate.finish(message.offer.run, true, now);
         }
     }
 
-    // An entry gave up on a run and settles it, before or after the agent got it.
+    // An entry gives up on a run and withdraws it, before or after the agent receives the offer.
     fn withdraw(&mut self, at: usize) {
-        let all: Vec<_> = self.mail.iter().chain(&self.accepted).copied().collect();
-        let Some(mail) = all.get(at % all.len().max(1)).copied() else { return };
+        let all: Vec<_> = self.in_transit.iter().chain(&self.accepted).copied().collect();
+        let Some(message) = all.get(at % all.len().max(1)).copied() else { return };
         let now = self.now;
-        if let Some(gate) = self.gate(&mail)
-            && gate.withdraw(mail.offer.run, now) == gate::Withdrawal::NotRun
+        if let Some(gate) = self.gate(&message)
+            && gate.withdraw(message.offer.run, now) == gate::Withdrawal::NotRun
         {
-            self.not_run.insert(mail.offer.run);
+            self.not_run.insert(message.offer.run);
         }
     }
 
@@ -236,8 +240,8 @@
         }
     }
 
-    // A stop in order waits until nothing runs, and leaves the key records.
-    fn stop_in_order(&mut self, at: usize) {
+    // A clean shutdown waits until no run is open and hands over the key records.
+    fn shut_down(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
         let Some(gate) = server.gate.as_mut().filter(|_| !server.paused) else { return };
@@ -264,8 +268,8 @@
         self.refresh();
     }
 
-    // The platform drops only instances that have died or do not move.
-    fn drop_from_list(&mut self, at: usize) {
+    // The platform drops only instances that have crashed or are paused.
+    fn unlist(&mut self, at: usize) {
         if self.servers[at].gate.is_none() || self.servers[at].paused {
             self.listed[at] = false;
         }
@@ -280,22 +284,22 @@
             Op::Withdraw(at) => self.withdraw(at),
             Op::Crash(at) => self.crash(at),
             Op::Restart(at) => self.restart(at),
-            Op::StopInOrder(at) => self.stop_in_order(at),
+            Op::Shutdown(at) => self.shut_down(at),
             Op::Pause(at) => self.servers[at].paused = true,
             Op::Resume(at) => {
                 self.servers[at].paused = false;
                 self.refresh();
             }
-            Op::DropFromList(at) => self.drop_from_list(at),
+            Op::Unlist(at) => self.unlist(at),
             Op::Advance(seconds) => self.advance(time::Duration::from_secs(seconds)),
         }
         Ok(())
     }
 }
 
-fn take(mails: &mut Vec<Mail>, at: usize) -> Option<Mail> {
-    let count = mails.len();
-    (count > 0).then(|| mails.remove(at % count))
+fn remove_at(messages: &mut Vec<Message>, at: usize) -> Option<Message> {
+    let count = messages.len();
+    (count > 0).then(|| messages.remove(at % count))
 }
 
 proptest! {
@@ -303,9 +307,9 @@
 
     #[test]
     fn random_faults(ops in prop::collection::vec(op(), 50..250)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for op in &ops {
-            if let Err(what) = world.apply(op) {
+            if let Err(what) = simulation.apply(op) {
                 prop_assert!(false, "{}", what);
             }
         }
@@ -313,36 +317,36 @@
 }
 
 #[test]
-fn runs_happen() {
-    let mut world = World::new();
+fn no_faults() {
+    let mut simulation = Simulation::new();
     for key in 0..KEYS {
-        world.call(0, key);
-        world.deliver(0);
-        world.start(0).unwrap();
+        simulation.call(0, key);
+        simulation.deliver(0);
+        simulation.start(0).unwrap();
     }
-    assert_eq!(world.ran.len(), KEYS as usize, "without faults every key runs");
+    assert_eq!(simulation.ran.len(), KEYS as usize, "without faults every key runs");
 }
 
 #[test]
-fn others_go_on() {
-    let mut world = World::new();
-    let dead = 1;
-    world.crash(dead);
-    world.restart(dead);
-    let members = world.entries[0].clone();
-    let is_dead = |key: &u128| members.owner(*key).unwrap() == NAMES[dead];
+fn lost_records() {
+    let mut simulation = Simulation::new();
+    let crashed = 1;
+    simulation.crash(crashed);
+    simulation.restart(crashed);
+    let members = simulation.entries[0].clone();
+    let owned_by_crashed = |key: &u128| members.owner(*key).unwrap() == NAMES[crashed];
     for key in 0..KEYS {
-        world.call(0, key);
-        world.deliver(0);
-        world.start(0).unwrap();
+        simulation.call(0, key);
+        simulation.deliver(0);
+        simulation.start(0).unwrap();
     }
-    let expected: Vec<_> = (0..KEYS).filter(|key| !is_dead(key)).collect();
-    let ran: Vec<_> = world.ran.keys().copied().collect();
-    assert_eq!(ran, expected, "only keys of the server that lost its memory wait");
-    world.advance(WINDOW + REFRESH);
-    let fresh = (100..).find(|key| is_dead(key)).unwrap();
-    world.call(0, fresh);
-    world.deliver(0);
-    world.start(0).unwrap();
-    assert!(world.ran.contains_key(&fresh), "new keys run again after the window");
+    let expected: Vec<_> = (0..KEYS).filter(|key| !owned_by_crashed(key)).collect();
+    let ran: Vec<_> = simulation.ran.keys().copied().collect();
+    assert_eq!(ran, expected, "only keys of the server that lost its records are held back");
+    simulation.advance(WINDOW + REFRESH);
+    let fresh = (100..).find(|key| owned_by_crashed(key)).unwrap();
+    simulation.call(0, fresh);
+    simulation.deliver(0);
+    simulation.start(0).unwrap();
+    assert!(simulation.ran.contains_key(&fresh), "new keys run again after the window");
 }
