--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -95,7 +95,7 @@
     let gone = state.gone.clone();
     state.gate.observe(service.servers(), |name| gone.contains(name), now);
     if let list::Kind::Plain(plain) = &service.kind {
-        state.rooms.set_capacity(plain.rooms);
+        state.rooms.set_capacity(plain.slots);
         state.loaded = true;
     }
 }
--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -124,7 +124,7 @@
             return false;
         }
         let texts = change.sections.iter().filter_map(|section| section.text.as_deref());
-        let Ok(part) = parse::parse_part(&texts.collect::<String>()) else { return false };
+        let Ok(part) = parse::parse_sections(&texts.collect::<String>()) else { return false };
         for section in &change.sections {
             if let Some(name) = section.name.strip_prefix("service ") {
                 self.list.services.remove(name);
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -70,7 +70,7 @@
     /// Calls that must carry an idempotency key.
     pub once: Vec<Route>,
     /// Calls that one server runs at the same time.
-    pub rooms: u32,
+    pub slots: u32,
 }
 
 /// Method and path of a call, relative to the service.
@@ -162,7 +162,7 @@
     }
 
     /// Services in an order in which each follows what it depends on.
-    pub fn in_order(&self) -> Vec<&Service> {
+    pub fn dependency_order(&self) -> Vec<&Service> {
         let mut done = Vec::new();
         for service in self.services.values() {
             self.visit(service, &mut done);
--- a/crates/core/src/parse.rs
+++ b/crates/core/src/parse.rs
@@ -12,7 +12,7 @@
 const BETWEEN_TOKENS: time::Duration = time::Duration::from_millis(74);
 const PLAIN_TARGET: time::Duration = time::Duration::from_millis(200);
 const MAX_WAIT: time::Duration = time::Duration::from_secs(2);
-const PLAIN_ROOMS: u32 = 64;
+const PLAIN_SLOTS: u32 = 64;
 const CALLER_RATE: u32 = 100;
 const CALLER_CONCURRENT: u32 = 50;
 const DIGEST_CHARS: usize = 64;
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// Returns the mistakes within the sections.
-pub fn parse_part(text: &str) -> Result<list::ServiceList, Vec<Mistake>> {
+pub fn parse_sections(text: &str) -> Result<list::ServiceList, Vec<Mistake>> {
     Reader::read(text)?.finish()
 }
 
@@ -64,14 +64,14 @@
     fn read_section(&mut self, section: section::Section) {
         let full = section.name.clone();
         if let Some(line) = self.lines.insert(full.clone(), section.line) {
-            let what = format!("[{full}] stands twice, first on line {line}");
-            self.note(section.line, what, "merge the two sections");
+            let message = format!("[{full}] stands twice, first on line {line}");
+            self.record_mistake(section.line, message, "merge the two sections");
             return;
         }
         match full.split_once(' ') {
             Some(("service", name)) if is_name(name) => self.read_service(name.trim(), section),
             Some(("caller", name)) if is_name(name) => self.read_caller(name.trim(), section),
-            _ => self.note(
+            _ => self.record_mistake(
                 section.line,
                 format!("[{full}] is not a known section"),
                 "write [service NAME] or [caller NAME] with letters, digits, `-`, `_` or `.`",
@@ -85,8 +85,8 @@
             "plain" => Some(list::Kind::Plain(read_plain(&mut section))),
             "" => None,
             other => {
-                let what = format!("`kind = {other}` is not a kind");
-                section.mistake("kind", what, "give model or plain".to_string());
+                let message = format!("`kind = {other}` is not a kind");
+                section.record_mistake("kind", message, "give model or plain".to_string());
                 None
             }
         };
@@ -95,18 +95,26 @@
         let window = section.duration("retry_window", WINDOW);
         let fenced = section.flag("fenced", false);
         if deadline.is_zero() {
-            let what = "`deadline` is zero".to_string();
-            section.mistake("deadline", what, "give a positive time such as 60s".to_string());
+            let message = "`deadline` is zero".to_string();
+            section.record_mistake(
+                "deadline",
+                message,
+                "give a positive time such as 60s".to_string(),
+            );
         }
         if window < deadline {
-            let what = "`retry_window` is shorter than `deadline`".to_string();
-            section.mistake("retry_window", what, "make it at least the deadline".to_string());
+            let message = "`retry_window` is shorter than `deadline`".to_string();
+            section.record_mistake(
+                "retry_window",
+                message,
+                "make it at least the deadline".to_string(),
+            );
         }
         if let Some(kind) = kind {
             let name = name.to_string();
             let service =
                 list::Service { name: name.clone(), depends, deadline, window, fenced, kind };
-            self.note_servers(&service, &mut section);
+            self.record_servers(&service, &mut section);
             self.list.services.insert(name, sync::Arc::new(service));
             self.mistakes.extend(section.finish());
         } else {
@@ -114,11 +122,15 @@
         }
     }
 
-    fn note_servers(&mut self, service: &list::Service, section: &mut section::Section) {
+    fn record_servers(&mut self, service: &list::Service, section: &mut section::Section) {
         for server in service.all_servers() {
             if let Some(line) = self.servers.insert(server.clone(), section.line) {
-                let what = format!("server `{server}` is already used on line {line}");
-                section.mistake("servers", what, "give each server one service and role".into());
+                let message = format!("server `{server}` is already used on line {line}");
+                section.record_mistake(
+                    "servers",
+                    message,
+                    "give each server one service and role".into(),
+                );
             }
         }
     }
@@ -126,19 +138,23 @@
     fn read_caller(&mut self, name: &str, mut section: section::Section) {
         let keys = section.words("keys");
         if keys.is_empty() {
-            let what = format!("caller `{name}` has no `keys`");
+            let message = format!("caller `{name}` has no `keys`");
             let remedy = "add `keys = ` with the SHA-256 digest that `rhubarb-ctl digest` prints";
-            section.mistake("keys", what, remedy.to_string());
+            section.record_mistake("keys", message, remedy.to_string());
         }
         for key in &keys {
             let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
             if key.len() != DIGEST_CHARS || !key.chars().all(hex) {
-                let what = format!("a key of caller `{name}` is not a SHA-256 digest");
+                let message = format!("a key of caller `{name}` is not a SHA-256 digest");
                 let remedy = "give 64 lower-case hexadecimal digits, as `rhubarb-ctl digest` does";
-                section.mistake("keys", what, remedy.to_string());
+                section.record_mistake("keys", message, remedy.to_string());
             } else if let Some(line) = self.digests.insert(key.clone(), section.line_of("keys")) {
-                let what = format!("a key of caller `{name}` already stands on line {line}");
-                section.mistake("keys", what, "give each caller keys of its own".to_string());
+                let message = format!("a key of caller `{name}` already stands on line {line}");
+                section.record_mistake(
+                    "keys",
+                    message,
+                    "give each caller keys of its own".to_string(),
+                );
             }
         }
         let whole = "a positive whole number";
@@ -146,7 +162,7 @@
         let concurrent = section.parsed("concurrent", CALLER_CONCURRENT, whole);
         for (key, value) in [("rate", rate), ("concurrent", concurrent)] {
             if value == 0 {
-                section.mistake(key, format!("`{key}` is zero"), format!("give {whole}"));
+                section.record_mistake(key, format!("`{key}` is zero"), format!("give {whole}"));
             }
         }
         let services = section.words("services");
@@ -166,13 +182,17 @@
         for service in self.list.services.values() {
             for name in &service.depends {
                 if !self.is_listed(name) {
-                    let what = format!("`{}` depends on unknown service `{name}`", service.name);
-                    found.push((format!("service {}", service.name), what));
+                    let message = format!("`{}` depends on unknown service `{name}`", service.name);
+                    found.push((format!("service {}", service.name), message));
                 }
             }
         }
-        for (section, what) in found {
-            self.note(self.lines[&section], what, "add that service or drop the dependency");
+        for (section, message) in found {
+            self.record_mistake(
+                self.lines[&section],
+                message,
+                "add that service or drop the dependency",
+            );
         }
     }
 
@@ -181,13 +201,14 @@
         for caller in self.list.callers.values() {
             for name in &caller.services {
                 if !self.is_listed(name) {
-                    let what = format!("caller `{}` names unknown service `{name}`", caller.name);
-                    found.push((format!("caller {}", caller.name), what));
+                    let message =
+                        format!("caller `{}` names unknown service `{name}`", caller.name);
+                    found.push((format!("caller {}", caller.name), message));
                 }
             }
         }
-        for (section, what) in found {
-            self.note(self.lines[&section], what, "add that service or drop its name");
+        for (section, message) in found {
+            self.record_mistake(self.lines[&section], message, "add that service or drop its name");
         }
     }
 
@@ -196,8 +217,8 @@
         for name in names {
             if self.reaches(&name, &name, &mut Vec::new()) {
                 let line = self.lines[&format!("service {name}")];
-                let what = format!("`{name}` depends on itself through its dependencies");
-                self.note(line, what, "remove one dependency of the cycle");
+                let message = format!("`{name}` depends on itself through its dependencies");
+                self.record_mistake(line, message, "remove one dependency of the cycle");
             }
         }
     }
@@ -216,13 +237,13 @@
         })
     }
 
-    fn note(&mut self, line: usize, what: String, remedy: &str) {
-        self.mistakes.push(Mistake { line, what, remedy: remedy.to_string() });
+    fn record_mistake(&mut self, line: usize, message: String, remedy: &str) {
+        self.mistakes.push(Mistake { line, message, remedy: remedy.to_string() });
     }
 }
 
 fn is_not_unknown(mistake: &Mistake) -> bool {
-    !mistake.what.contains("unknown field")
+    !mistake.message.contains("unknown field")
 }
 
 fn is_name(name: &str) -> bool {
@@ -251,7 +272,7 @@
         servers: section.words("servers"),
         target: section.duration("target", PLAIN_TARGET),
         once: read_once(section),
-        rooms: section.parsed("rooms", PLAIN_ROOMS, "a whole number"),
+        slots: section.parsed("rooms", PLAIN_SLOTS, "a whole number"),
     };
     check_names(section, "servers", &plain.servers);
     plain
@@ -266,8 +287,12 @@
                 path: path.trim().to_string(),
             }),
             _ => {
-                let what = format!("`{word}` in `once` is not a method and a path");
-                section.mistake("once", what, "write for example `POST /confirm`".to_string());
+                let message = format!("`{word}` in `once` is not a method and a path");
+                section.record_mistake(
+                    "once",
+                    message,
+                    "write for example `POST /confirm`".to_string(),
+                );
             }
         }
     }
@@ -276,12 +301,12 @@
 
 fn check_names(section: &mut section::Section, key: &str, names: &[String]) {
     if names.is_empty() {
-        let what = format!("[{}] names no server in `{key}`", section.name);
-        section.mistake(key, what, format!("add `{key} = ` with server names"));
+        let message = format!("[{}] names no server in `{key}`", section.name);
+        section.record_mistake(key, message, format!("add `{key} = ` with server names"));
     }
     for name in names.iter().filter(|name| !is_name(name)) {
-        let what = format!("`{name}` is not a server name");
+        let message = format!("`{name}` is not a server name");
         let remedy = "use letters, digits, `-`, `_` or `.`";
-        section.mistake(key, what, remedy.to_string());
+        section.record_mistake(key, message, remedy.to_string());
     }
 }
--- a/crates/core/src/section.rs
+++ b/crates/core/src/section.rs
@@ -13,14 +13,14 @@
     /// Line number, from 1.
     pub line: usize,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What to do about it.
     pub remedy: String,
 }
 
 impl fmt::Display for Mistake {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}; {}", self.line, self.what, self.remedy)
+        write!(f, "line {}: {}; {}", self.line, self.message, self.remedy)
     }
 }
 
@@ -48,13 +48,13 @@
     let option = ParseOption { enabled_escape: false, ..ParseOption::default() };
     let ini = Ini::load_from_str_opt(text, option).map_err(|err| Mistake {
         line: err.line + 1,
-        what: format!("not INI: {}", err.msg),
+        message: format!("not INI: {}", err.msg),
         remedy: "write `[section]` and `key = value` lines".to_string(),
     })?;
     if !ini.general_section().is_empty() {
         return Err(Mistake {
             line: 1,
-            what: "fields before the first section".to_string(),
+            message: "fields before the first section".to_string(),
             remedy: "move them below a `[section]` line".to_string(),
         });
     }
@@ -75,7 +75,7 @@
     let (at, line) = text.lines().enumerate().find(|(_, line)| !is_known(line.trim()))?;
     Some(Mistake {
         line: at + 1,
-        what: format!("`{}` is neither a section nor a field", line.trim()),
+        message: format!("`{}` is neither a section nor a field", line.trim()),
         remedy: "write `[section]` or `key = value`".to_string(),
     })
 }
@@ -149,7 +149,7 @@
     fn new(name: String, fields: Properties, mark: Mark) -> Section {
         let mistakes = mark.doubles.into_iter().map(|(key, line)| Mistake {
             line,
-            what: format!("`{key}` stands twice in [{name}]"),
+            message: format!("`{key}` stands twice in [{name}]"),
             remedy: "keep one of the two lines".to_string(),
         });
         let mistakes = mistakes.collect();
@@ -172,8 +172,8 @@
         match self.text(key) {
             Some(value) if !value.is_empty() => value,
             _ => {
-                let what = format!("[{}] has no `{key}`", self.name);
-                self.mistake_at(self.line, what, format!("add a line `{key} = …`"));
+                let message = format!("[{}] has no `{key}`", self.name);
+                self.record_at(self.line, message, format!("add a line `{key} = …`"));
                 String::new()
             }
         }
@@ -214,7 +214,11 @@
     ) -> T {
         let Some(value) = self.text(key) else { return default };
         scan(&value).unwrap_or_else(|| {
-            self.mistake(key, format!("`{key} = {value}` is not {form}"), format!("give {form}"));
+            self.record_mistake(
+                key,
+                format!("`{key} = {value}` is not {form}"),
+                format!("give {form}"),
+            );
             default
         })
     }
@@ -225,12 +229,12 @@
     }
 
     /// Notes a mistake at `key`.
-    pub fn mistake(&mut self, key: &str, what: String, remedy: String) {
-        self.mistake_at(self.line_of(key), what, remedy);
+    pub fn record_mistake(&mut self, key: &str, message: String, remedy: String) {
+        self.record_at(self.line_of(key), message, remedy);
     }
 
-    fn mistake_at(&mut self, line: usize, what: String, remedy: String) {
-        self.mistakes.push(Mistake { line, what, remedy });
+    fn record_at(&mut self, line: usize, message: String, remedy: String) {
+        self.mistakes.push(Mistake { line, message, remedy });
     }
 
     /// Ends the reading: fields that nobody read are mistakes too.
@@ -239,7 +243,7 @@
             if !self.read.contains(key) {
                 self.mistakes.push(Mistake {
                     line: *line,
-                    what: format!("[{}] has an unknown field `{key}`", self.name),
+                    message: format!("[{}] has an unknown field `{key}`", self.name),
                     remedy: format!("use one of: {}", self.read.join(", ")),
                 });
             }
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -23,7 +23,8 @@
 #[test]
 fn good_list() {
     let list = checks::check_text("list.ini", GOOD).unwrap();
-    let order: Vec<_> = list.in_order().iter().map(|service| service.name.clone()).collect();
+    let order: Vec<_> =
+        list.dependency_order().iter().map(|service| service.name.clone()).collect();
     assert_eq!(order, ["board", "fibre"]);
     assert!(list.services["board"].needs_key("POST", "/confirm"));
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -56,7 +56,7 @@
     if keys.is_none() {
         let what = "`shared_keys` is missing or has a key under 16 characters".to_string();
         let remedy = "give the deployment's key, and after it the one being retired, if any";
-        section.mistake("shared_keys", what, remedy.to_string());
+        section.record_mistake("shared_keys", what, remedy.to_string());
     }
     keys
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -41,7 +41,7 @@
             file: path.to_string(),
             mistakes: vec![section::Mistake {
                 line: 0,
-                what: format!("cannot be read: {err}"),
+                message: format!("cannot be read: {err}"),
                 remedy: "give the path of a settings file with --settings".to_string(),
             }],
         })?;
@@ -81,7 +81,7 @@
         for section in &self.sections {
             self.mistakes.push(section::Mistake {
                 line: section.line,
-                what: format!("[{}] is not a known section", section.name),
+                message: format!("[{}] is not a known section", section.name),
                 remedy: "remove it, or correct its name".to_string(),
             });
         }
@@ -100,7 +100,7 @@
     }
     str::FromStr::from_str(&value).unwrap_or_else(|_| {
         let what = format!("`{key} = {value}` is not an IP number and port");
-        section.mistake(key, what, "give for example 10.0.0.5:7000".to_string());
+        section.record_mistake(key, what, "give for example 10.0.0.5:7000".to_string());
         nowhere
     })
 }
@@ -114,7 +114,7 @@
             Ok(address) => addresses.push(address),
             Err(_) => {
                 let what = format!("`{word}` in `{key}` is not an IP number and port");
-                section.mistake(key, what, "give for example 10.0.0.5:7000".to_string());
+                section.record_mistake(key, what, "give for example 10.0.0.5:7000".to_string());
             }
         }
     }
@@ -126,7 +126,7 @@
     let value = section.required(key);
     if !value.is_empty() && !is_url(&value) {
         let what = format!("`{key} = {value}` is not an HTTP URL with an IP number");
-        section.mistake(key, what, "give for example http://10.0.0.5:8000".to_string());
+        section.record_mistake(key, what, "give for example http://10.0.0.5:8000".to_string());
     }
     value.trim_end_matches('/').to_string()
 }
