--- a/crates/core/src/parse.rs
+++ b/crates/core/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the text of a service list.
+//! Parses and checks the text of a service list.
 
 use std::{collections, sync, time};
 
@@ -6,21 +6,21 @@
 
 use section::Mistake;
 
-const DEADLINE: time::Duration = time::Duration::from_secs(60);
-const WINDOW: time::Duration = time::Duration::from_secs(600);
-const FIRST_TOKEN: time::Duration = time::Duration::from_millis(460);
-const BETWEEN_TOKENS: time::Duration = time::Duration::from_millis(74);
-const PLAIN_TARGET: time::Duration = time::Duration::from_millis(200);
-const MAX_WAIT: time::Duration = time::Duration::from_secs(2);
-const PLAIN_SLOTS: u32 = 64;
-const CALLER_RATE: u32 = 100;
-const CALLER_CONCURRENT: u32 = 50;
-const DIGEST_CHARS: usize = 64;
+const DEFAULT_DEADLINE: time::Duration = time::Duration::from_secs(60);
+const DEFAULT_WINDOW: time::Duration = time::Duration::from_secs(600);
+const DEFAULT_FIRST_TOKEN: time::Duration = time::Duration::from_millis(460);
+const DEFAULT_BETWEEN_TOKENS: time::Duration = time::Duration::from_millis(74);
+const DEFAULT_PLAIN_TARGET: time::Duration = time::Duration::from_millis(200);
+const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(2);
+const DEFAULT_PLAIN_SLOTS: u32 = 64;
+const DEFAULT_CALLER_RATE: u32 = 100;
+const DEFAULT_CALLER_CONCURRENCY: u32 = 50;
+const DIGEST_HEX_DIGITS: usize = 64;
 
 /// Parses and checks a service list.
 ///
 /// # Errors
-/// Returns every mistake found, in the order of their lines.
+/// Returns every mistake found, ordered by line.
 pub fn parse_list(text: &str) -> Result<list::ServiceList, Vec<Mistake>> {
     let mut reader = Reader::read(text)?;
     reader.check_depends();
@@ -29,7 +29,7 @@
     reader.finish()
 }
 
-/// Parses sections that were checked together with the rest of their list before.
+/// Parses single sections of a list that has already been checked as a whole.
 ///
 /// # Errors
 /// Returns the mistakes within the sections.
@@ -64,7 +64,7 @@
     fn read_section(&mut self, section: section::Section) {
         let full = section.name.clone();
         if let Some(line) = self.lines.insert(full.clone(), section.line) {
-            let message = format!("[{full}] stands twice, first on line {line}");
+            let message = format!("[{full}] is given twice, first on line {line}");
             self.record_mistake(section.line, message, "merge the two sections");
             return;
         }
@@ -91,8 +91,8 @@
             }
         };
         let depends = section.words("depends");
-        let deadline = section.duration("deadline", DEADLINE);
-        let window = section.duration("retry_window", WINDOW);
+        let deadline = section.duration("deadline", DEFAULT_DEADLINE);
+        let window = section.duration("retry_window", DEFAULT_WINDOW);
         let fenced = section.flag("fenced", false);
         if deadline.is_zero() {
             let message = "`deadline` is zero".to_string();
@@ -118,7 +118,7 @@
             self.list.services.insert(name, sync::Arc::new(service));
             self.mistakes.extend(section.finish());
         } else {
-            self.mistakes.extend(section.finish().into_iter().filter(is_not_unknown));
+            self.mistakes.extend(section.finish().into_iter().filter(is_not_unknown_field));
         }
     }
 
@@ -143,13 +143,13 @@
             section.record_mistake("keys", message, remedy.to_string());
         }
         for key in &keys {
-            let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-            if key.len() != DIGEST_CHARS || !key.chars().all(hex) {
+            let is_hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
+            if key.len() != DIGEST_HEX_DIGITS || !key.chars().all(is_hex) {
                 let message = format!("a key of caller `{name}` is not a SHA-256 digest");
                 let remedy = "give 64 lower-case hexadecimal digits, as `rhubarb-ctl digest` does";
                 section.record_mistake("keys", message, remedy.to_string());
             } else if let Some(line) = self.digests.insert(key.clone(), section.line_of("keys")) {
-                let message = format!("a key of caller `{name}` already stands on line {line}");
+                let message = format!("a key of caller `{name}` is already used on line {line}");
                 section.record_mistake(
                     "keys",
                     message,
@@ -157,12 +157,12 @@
                 );
             }
         }
-        let whole = "a positive whole number";
-        let rate = section.parsed("rate", CALLER_RATE, whole);
-        let concurrent = section.parsed("concurrent", CALLER_CONCURRENT, whole);
+        let form = "a positive whole number";
+        let rate = section.parsed("rate", DEFAULT_CALLER_RATE, form);
+        let concurrent = section.parsed("concurrent", DEFAULT_CALLER_CONCURRENCY, form);
         for (key, value) in [("rate", rate), ("concurrent", concurrent)] {
             if value == 0 {
-                section.record_mistake(key, format!("`{key}` is zero"), format!("give {whole}"));
+                section.record_mistake(key, format!("`{key}` is zero"), format!("give {form}"));
             }
         }
         let services = section.words("services");
@@ -172,7 +172,7 @@
         self.mistakes.extend(section.finish());
     }
 
-    // A service with mistakes of its own is listed all the same.
+    // Services that have mistakes of their own count as listed too.
     fn is_listed(&self, service: &str) -> bool {
         self.lines.contains_key(&format!("service {service}"))
     }
@@ -242,7 +242,8 @@
     }
 }
 
-fn is_not_unknown(mistake: &Mistake) -> bool {
+// Without a kind, it is not known which fields the section may have.
+fn is_not_unknown_field(mistake: &Mistake) -> bool {
     !mistake.message.contains("unknown field")
 }
 
@@ -258,9 +259,9 @@
         adapters: section.words("adapters"),
         prefill: section.words("prefill"),
         decode: section.words("decode"),
-        first_token: section.duration("first_token", FIRST_TOKEN),
-        between_tokens: section.duration("between_tokens", BETWEEN_TOKENS),
-        max_wait: section.duration("max_wait", MAX_WAIT),
+        first_token: section.duration("first_token", DEFAULT_FIRST_TOKEN),
+        between_tokens: section.duration("between_tokens", DEFAULT_BETWEEN_TOKENS),
+        max_wait: section.duration("max_wait", DEFAULT_MAX_WAIT),
     };
     check_names(section, "prefill", &model.prefill);
     check_names(section, "decode", &model.decode);
@@ -270,9 +271,9 @@
 fn read_plain(section: &mut section::Section) -> list::Plain {
     let plain = list::Plain {
         servers: section.words("servers"),
-        target: section.duration("target", PLAIN_TARGET),
+        target: section.duration("target", DEFAULT_PLAIN_TARGET),
         once: read_once(section),
-        slots: section.parsed("rooms", PLAIN_SLOTS, "a whole number"),
+        slots: section.parsed("rooms", DEFAULT_PLAIN_SLOTS, "a whole number"),
     };
     check_names(section, "servers", &plain.servers);
     plain
--- a/crates/core/src/section.rs
+++ b/crates/core/src/section.rs
@@ -1,4 +1,4 @@
-//! Checked reading of INI sections, for the service list and all settings files.
+//! Reads and checks INI sections, for the service list and all settings files.
 
 use std::{
     collections::{self, btree_map},
@@ -7,14 +7,14 @@
 
 use ini::{Ini, ParseOption, Properties};
 
-/// A mistake in an INI text, with its remedy.
+/// A mistake in an INI text, with a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
     /// Line number, from 1.
     pub line: usize,
     /// What is wrong.
     pub message: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -29,20 +29,20 @@
 pub struct Section {
     /// Name in the brackets.
     pub name: String,
-    /// Line of the brackets, from 1.
+    /// Line of the section header, from 1.
     pub line: usize,
     fields: Properties,
     lines: collections::BTreeMap<String, usize>,
-    read: Vec<String>,
+    known_keys: Vec<String>,
     mistakes: Vec<Mistake>,
 }
 
 /// Splits `text` into sections.
 ///
 /// # Errors
-/// Returns a mistake for text that is not INI and for fields outside a section.
+/// Returns a mistake if the text is not INI or has a field outside a section.
 pub fn read_sections(text: &str) -> Result<Vec<Section>, Mistake> {
-    if let Some(mistake) = scan_stray(text) {
+    if let Some(mistake) = find_stray_line(text) {
         return Err(mistake);
     }
     let option = ParseOption { enabled_escape: false, ..ParseOption::default() };
@@ -58,18 +58,19 @@
             remedy: "move them below a `[section]` line".to_string(),
         });
     }
-    let mut marks = scan_lines(text).into_iter();
+    let mut scanned = scan_lines(text).into_iter();
     let mut sections = Vec::new();
     for (name, fields) in ini.iter().filter(|(name, _)| name.is_some()) {
         let name = name.unwrap_or_default().to_string();
-        let mark = marks.next().unwrap_or_default();
-        sections.push(Section::new(name, fields.clone(), mark));
+        let lines = scanned.next().unwrap_or_default();
+        sections.push(Section::new(name, fields.clone(), lines));
     }
     Ok(sections)
 }
 
-// The INI library would join a line without `=` to the next one.
-fn scan_stray(text: &str) -> Option<Mistake> {
+// Finds a line that is neither a section nor a field: the INI library would join a line without
+// `=` to the next one.
+fn find_stray_line(text: &str) -> Option<Mistake> {
     let is_known =
         |line: &str| line.is_empty() || line.starts_with(['#', ';', '[']) || line.contains('=');
     let (at, line) = text.lines().enumerate().find(|(_, line)| !is_known(line.trim()))?;
@@ -80,23 +81,23 @@
     })
 }
 
-/// Text of one section with its brackets, its comments and what follows up to the next one.
+/// Text of one section, from its header up to the next header, with comments and blank lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// Name in the brackets; empty for the text before the first section.
     pub name: String,
-    /// Text.
+    /// Text as written, with line ends.
     pub text: String,
 }
 
-/// Texts of sections by name.
+/// Section texts by section name.
 pub type Chunks<'a> = collections::BTreeMap<&'a str, &'a String>;
 
-/// Splits a text into its sections; all chunks together are the text.
+/// Splits a text into its sections; the chunks joined in order yield the text again.
 pub fn split_chunks(text: &str) -> Vec<Chunk> {
     let mut chunks = vec![Chunk { name: String::new(), text: String::new() }];
     for line in text.split_inclusive('\n') {
-        if let Some(name) = scan_name(line) {
+        if let Some(name) = parse_name(line) {
             chunks.push(Chunk { name, text: String::new() });
         }
         if let Some(chunk) = chunks.last_mut() {
@@ -106,35 +107,36 @@
     chunks
 }
 
-/// Finds chunks by name.
+/// Indexes chunks by name.
 pub fn by_name(chunks: &[Chunk]) -> Chunks<'_> {
     chunks.iter().map(|chunk| (chunk.name.as_str(), &chunk.text)).collect()
 }
 
-fn scan_name(line: &str) -> Option<String> {
+fn parse_name(line: &str) -> Option<String> {
     let inner = line.trim().strip_prefix('[')?;
     Some(inner.split(']').next().unwrap_or(inner).trim().to_string())
 }
 
+// Line numbers of one section: its header, its fields and repeated fields.
 #[derive(Default)]
-struct Mark {
+struct SectionLines {
     line: usize,
     keys: collections::BTreeMap<String, usize>,
-    doubles: Vec<(String, usize)>,
+    duplicates: Vec<(String, usize)>,
 }
 
-// The INI library keeps no line numbers, so a second scan finds them.
-fn scan_lines(text: &str) -> Vec<Mark> {
-    let mut marks: Vec<Mark> = Vec::new();
+// Finds the line numbers, which the INI library does not keep.
+fn scan_lines(text: &str) -> Vec<SectionLines> {
+    let mut scanned: Vec<SectionLines> = Vec::new();
     for (at, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.starts_with('[') {
-            marks.push(Mark { line: at + 1, ..Mark::default() });
-        } else if let (Some(mark), Some((key, _))) = (marks.last_mut(), line.split_once('=')) {
+            scanned.push(SectionLines { line: at + 1, ..SectionLines::default() });
+        } else if let (Some(lines), Some((key, _))) = (scanned.last_mut(), line.split_once('=')) {
             let key = key.trim().to_string();
-            match mark.keys.entry(key) {
+            match lines.keys.entry(key) {
                 btree_map::Entry::Occupied(first) => {
-                    mark.doubles.push((first.key().clone(), at + 1));
+                    lines.duplicates.push((first.key().clone(), at + 1));
                 }
                 btree_map::Entry::Vacant(slot) => {
                     slot.insert(at + 1);
@@ -142,32 +144,39 @@
             }
         }
     }
-    marks
+    scanned
 }
 
 impl Section {
-    fn new(name: String, fields: Properties, mark: Mark) -> Section {
-        let mistakes = mark.doubles.into_iter().map(|(key, line)| Mistake {
+    fn new(name: String, fields: Properties, lines: SectionLines) -> Section {
+        let mistakes = lines.duplicates.into_iter().map(|(key, line)| Mistake {
             line,
-            message: format!("`{key}` stands twice in [{name}]"),
+            message: format!("`{key}` is given twice in [{name}]"),
             remedy: "keep one of the two lines".to_string(),
         });
         let mistakes = mistakes.collect();
-        Section { line: mark.line, fields, lines: mark.keys, read: Vec::new(), mistakes, name }
+        Section {
+            line: lines.line,
+            fields,
+            lines: lines.keys,
+            known_keys: Vec::new(),
+            mistakes,
+            name,
+        }
     }
 
-    /// Makes a section without fields, for one that a file leaves out.
+    /// Creates a section without fields, in place of one that a file omits.
     pub fn empty(name: &str) -> Section {
-        Section::new(name.to_string(), Properties::new(), Mark::default())
+        Section::new(name.to_string(), Properties::new(), SectionLines::default())
     }
 
     /// Value of `key`, if present.
     pub fn text(&mut self, key: &str) -> Option<String> {
-        self.read.push(key.to_string());
+        self.known_keys.push(key.to_string());
         self.fields.get(key).map(|value| value.trim().to_string())
     }
 
-    /// Value of `key`; a mistake is noted where it is missing or empty.
+    /// Value of `key`; records a mistake if it is missing or empty.
     pub fn required(&mut self, key: &str) -> String {
         match self.text(key) {
             Some(value) if !value.is_empty() => value,
@@ -186,14 +195,15 @@
         words.map(str::to_string).collect()
     }
 
-    /// Value of `key` read by its `FromStr`, or `default`; `form` tells the wanted form.
+    /// Value of `key` read by its `FromStr`, or `default`; `form` describes the expected form in the
+    /// mistake that is recorded for any other value.
     pub fn parsed<T: str::FromStr>(&mut self, key: &str, default: T, form: &str) -> T {
         self.read_with(key, default, form, |value| value.parse().ok())
     }
 
     /// Duration of `key` such as `250ms`, `10s` or `5m`, or `default`.
     pub fn duration(&mut self, key: &str, default: time::Duration) -> time::Duration {
-        self.read_with(key, default, "a time such as 250ms, 10s or 5m", scan_duration)
+        self.read_with(key, default, "a time such as 250ms, 10s or 5m", parse_duration)
     }
 
     /// Value `yes` or `no` of `key`, or `default`.
@@ -210,10 +220,10 @@
         key: &str,
         default: T,
         form: &str,
-        scan: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> T {
         let Some(value) = self.text(key) else { return default };
-        scan(&value).unwrap_or_else(|| {
+        parse(&value).unwrap_or_else(|| {
             self.record_mistake(
                 key,
                 format!("`{key} = {value}` is not {form}"),
@@ -223,12 +233,12 @@
         })
     }
 
-    /// Line of `key`, or of the section where the key is absent.
+    /// Line of `key`, or of the section header if the key is absent.
     pub fn line_of(&self, key: &str) -> usize {
         self.lines.get(key).copied().unwrap_or(self.line)
     }
 
-    /// Notes a mistake at `key`.
+    /// Records a mistake at `key`.
     pub fn record_mistake(&mut self, key: &str, message: String, remedy: String) {
         self.record_at(self.line_of(key), message, remedy);
     }
@@ -237,14 +247,14 @@
         self.mistakes.push(Mistake { line, message, remedy });
     }
 
-    /// Ends the reading: fields that nobody read are mistakes too.
+    /// Returns the mistakes found; each field that was never read counts as unknown.
     pub fn finish(mut self) -> Vec<Mistake> {
         for (key, line) in &self.lines {
-            if !self.read.contains(key) {
+            if !self.known_keys.contains(key) {
                 self.mistakes.push(Mistake {
                     line: *line,
                     message: format!("[{}] has an unknown field `{key}`", self.name),
-                    remedy: format!("use one of: {}", self.read.join(", ")),
+                    remedy: format!("use one of: {}", self.known_keys.join(", ")),
                 });
             }
         }
@@ -252,8 +262,8 @@
     }
 }
 
-/// Reads a duration such as `250ms`, `10s`, `5m` or `2h`.
-pub fn scan_duration(value: &str) -> Option<time::Duration> {
+/// Parses a duration such as `250ms`, `10s`, `5m` or `2h`.
+pub fn parse_duration(value: &str) -> Option<time::Duration> {
     let digits = value.find(|c: char| !c.is_ascii_digit())?;
     let count: u64 = value[..digits].parse().ok()?;
     let millis = match value[digits..].trim() {
