--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -1,10 +1,10 @@
-//! The service list: what operators apply and every process enforces.
+//! The service list, which operators apply and every process enforces.
 
 use std::{collections, sync, time};
 
 use crate::ids;
 
-/// A checked service list.
+/// A service list that has passed all checks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceList {
     /// Services by name.
@@ -18,15 +18,16 @@
 pub struct Service {
     /// Name, which callers use as `model` or as the first path segment.
     pub name: ids::ServiceName,
-    /// Services that must be in force before this one.
+    /// Services that must be ready before this one.
     pub depends: Vec<ids::ServiceName>,
     /// Longest time a request may take.
     pub deadline: time::Duration,
-    /// Time for which a repeated idempotency key must find its record.
+    /// Time for which a record of each idempotency key is kept, so that a repeated key is
+    /// recognized.
     pub window: time::Duration,
-    /// Whether the backend servers refuse old fencing numbers.
+    /// Whether the backend servers reject outdated fencing numbers.
     pub fenced: bool,
-    /// What is particular to models or plain services.
+    /// Kind of the service, with the settings specific to it.
     pub kind: Kind,
 }
 
@@ -48,15 +49,15 @@
     pub version: u64,
     /// Adapters to load after the weights.
     pub adapters: Vec<String>,
-    /// Servers that prefill.
+    /// Servers that run the prefill stage.
     pub prefill: Vec<ids::ServerName>,
-    /// Servers that decode.
+    /// Servers that run the decode stage.
     pub decode: Vec<ids::ServerName>,
     /// Target for the time to the first token.
     pub first_token: time::Duration,
     /// Target for the mean time between tokens.
     pub between_tokens: time::Duration,
-    /// Longest time a request may wait for decode room.
+    /// Longest time a request may wait for a decode slot.
     pub max_wait: time::Duration,
 }
 
@@ -65,11 +66,11 @@
 pub struct Plain {
     /// Servers of the service.
     pub servers: Vec<ids::ServerName>,
-    /// Target for the time to the whole answer.
+    /// Target for the time to the complete response.
     pub target: time::Duration,
     /// Calls that must carry an idempotency key.
     pub once: Vec<Route>,
-    /// Calls that one server runs at the same time.
+    /// Number of calls that one server runs concurrently.
     pub slots: u32,
 }
 
@@ -89,7 +90,7 @@
     pub name: ids::CallerName,
     /// SHA-256 digests of the caller's keys, in lower-case hexadecimal.
     pub keys: Vec<String>,
-    /// Requests a second over all entries.
+    /// Requests per second over all entries.
     pub rate: u32,
     /// Requests in flight over all entries.
     pub concurrent: u32,
@@ -109,7 +110,7 @@
 }
 
 impl Service {
-    /// Servers that keep run records of this service: decode or plain servers.
+    /// Servers that keep the run records of this service: its decode or plain servers.
     pub fn servers(&self) -> &[ids::ServerName] {
         match &self.kind {
             Kind::Model(model) => &model.decode,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// All servers of the service.
+    /// All servers of the service, prefill servers first.
     pub fn all_servers(&self) -> impl Iterator<Item = &ids::ServerName> {
         let prefill = match &self.kind {
             Kind::Model(model) => model.prefill.as_slice(),
@@ -161,7 +162,7 @@
         self.services.values().find_map(|service| Some((&**service, service.role(server)?)))
     }
 
-    /// Services in an order in which each follows what it depends on.
+    /// Services in topological order: each one follows the services it depends on.
     pub fn dependency_order(&self) -> Vec<&Service> {
         let mut done = Vec::new();
         for service in self.services.values() {
