--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -1,27 +1,28 @@
-//! What a process that stops in order leaves to the next one of the same server.
+//! Records that a process hands over to the next process of the same server when it shuts down
+//! cleanly.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids;
 
-/// A key record on its way to the next process.
+/// Record of one idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
     /// Idempotency key.
     pub key: ids::KeyHash,
-    /// Run that ran the key.
+    /// Run that used the key.
     pub run: ids::RunId,
-    /// Whether its whole answer is stored.
+    /// Whether the complete response of the run is stored.
     pub whole: bool,
-    /// Age of the end of the run in milliseconds.
+    /// Time since the end of the run, in milliseconds.
     pub age_ms: u64,
 }
 
-/// All that is left.
+/// All records of one handover.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// Key records of ended runs.
     pub records: Vec<KeyRecord>,
-    /// Window of the gate that left them, in milliseconds.
+    /// Window of the gate that exported the records, in milliseconds.
     pub window_ms: u64,
 }
