--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -10,13 +10,13 @@
 pub type CallerName = String;
 /// Name of an availability zone.
 pub type ZoneName = String;
-/// Random number drawn by a process when it starts.
+/// Random number that a process draws at start and that identifies it until it exits.
 pub type Incarnation = u64;
 /// Version of the service list; higher versions replace lower ones.
 pub type ListVersion = u64;
 /// One attempt at a request: the entry's incarnation, then a sequence number.
 pub type RunId = u128;
-/// Digest of service, caller and idempotency key.
+/// Hash of service, caller and idempotency key.
 pub type KeyHash = u128;
 
 /// Builds the id of attempt `seq` made by the entry `incarnation`.
@@ -24,7 +24,7 @@
     (RunId::from(incarnation) << 64) | RunId::from(seq)
 }
 
-/// Hashes `parts` with their lengths, so that no two lists of parts collide by concatenation.
+/// Hashes `parts` with their lengths, so that lists with equal concatenations hash differently.
 pub fn digest(parts: &[&[u8]]) -> u128 {
     let mut sha = sha2::Sha256::new();
     for part in parts {
@@ -32,12 +32,12 @@
         sha.update(part);
     }
     let sum: [u8; 32] = sha.finalize().into();
-    let mut half = [0; 16];
-    half.copy_from_slice(&sum[..16]);
-    u128::from_be_bytes(half)
+    let mut bytes = [0; 16];
+    bytes.copy_from_slice(&sum[..16]);
+    u128::from_be_bytes(bytes)
 }
 
-/// Hash that names an idempotency key of `caller` at `service`.
+/// Hash that identifies an idempotency key of `caller` at `service`.
 pub fn key_hash(service: &str, caller: &str, key: &str) -> KeyHash {
     digest(&[service.as_bytes(), caller.as_bytes(), key.as_bytes()])
 }
