--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of rhubarbloom: routing, admission, retries and at-most-once execution.
+//! Decision logic of rhubarbloom: routing, admission, retries and at-most-once execution.
 //!
-//! Nothing here opens a socket or reads a clock. Callers pass `now` and carry out what is
-//! returned, so that a binary, a test and a bench drive the same code.
+//! Nothing here does I/O or reads a clock. Callers pass `now` and act on the returned decision, so
+//! that binaries, tests and benchmarks run the same code.
 //!
 //! ```
 //! use rhubarb_core::parse;
