--- a/crates/core/tests/random/mod.rs
+++ b/crates/core/tests/random/mod.rs
@@ -1,4 +1,4 @@
-//! How random tests draw their cases.
+//! Configuration of the property tests.
 
 use std::env;
 
@@ -6,11 +6,12 @@
 
 const SEED: u64 = 20_261_203;
 
-/// Draws `cases` that are the same in every run; with `PROPTEST_CASES` set, as many others.
+/// Runs `cases` cases from a fixed seed, the same in every run. If `PROPTEST_CASES` is set, runs
+/// that many cases with proptest's default seed instead.
 pub fn config(cases: u32) -> ProptestConfig {
-    let given = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
+    let base = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
     if env::var_os("PROPTEST_CASES").is_some() {
-        return given;
+        return base;
     }
-    ProptestConfig { cases, rng_seed: test_runner::RngSeed::Fixed(SEED), ..given }
+    ProptestConfig { cases, rng_seed: test_runner::RngSeed::Fixed(SEED), ..base }
 }
