--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -130,7 +130,8 @@
         self.key_history.mark_complete();
     }
 
-    /// Records that this server joined, `ago`, a service whose keys others had run before.
+    /// Records that this server joined its service `ago`; until then, other servers may have run
+    /// any key.
     pub fn record_join(&mut self, ago: time::Duration, now: time::Instant) {
         self.key_history.record_join(ago, now);
     }
--- a/crates/core/src/key_history.rs
+++ b/crates/core/src/key_history.rs
@@ -6,7 +6,7 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
-/// How far the key records of one server are complete, and the other servers of its service.
+/// Until when keys may have run without a record at one server, with the members of its service.
 #[derive(Clone, Debug)]
 pub struct KeyHistory {
     server: ids::ServerName,
@@ -41,7 +41,8 @@
         self.incomplete_until = self.incomplete_until.max(Some(now));
     }
 
-    /// Records that this server joined, `ago`, a service whose keys others had run before.
+    /// Records that this server joined its service `ago`; until then, other servers may have run
+    /// any key.
     pub fn record_join(&mut self, ago: time::Duration, now: time::Instant) {
         self.incomplete_until = self.incomplete_until.max(now.checked_sub(ago));
     }
