--- a/crates/core/src/parse.rs
+++ b/crates/core/src/parse.rs
@@ -62,18 +62,18 @@
     }
 
     fn read_section(&mut self, section: section::Section) {
-        let full = section.name.clone();
-        if let Some(line) = self.lines.insert(full.clone(), section.line) {
-            let message = format!("[{full}] is given twice, first on line {line}");
+        let header = section.name.clone();
+        if let Some(line) = self.lines.insert(header.clone(), section.line) {
+            let message = format!("[{header}] is given twice, first on line {line}");
             self.record_mistake(section.line, message, "merge the two sections");
             return;
         }
-        match full.split_once(' ') {
+        match header.split_once(' ') {
             Some(("service", name)) if is_name(name) => self.read_service(name.trim(), section),
             Some(("caller", name)) if is_name(name) => self.read_caller(name.trim(), section),
             _ => self.record_mistake(
                 section.line,
-                format!("[{full}] is not a known section"),
+                format!("[{header}] is not a known section"),
                 "write [service NAME] or [caller NAME] with letters, digits, `-`, `_` or `.`",
             ),
         }
