--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -86,16 +86,16 @@
     state.gate.set_window(service.window);
     state.trust_first(server);
     if let Some(ago) = joined {
-        state.gate.join(ago, now);
+        state.gate.record_join(ago, now);
     }
     for removal in removed {
         let ago = time::Duration::from_millis(unix.saturating_sub(removal.at_ms));
-        state.gate.note_removed(&removal.server, ago, now);
+        state.gate.record_removal(&removal.server, ago, now);
     }
     let gone = state.gone.clone();
     state.gate.observe(service.servers(), |name| gone.contains(name), now);
     if let list::Kind::Plain(plain) = &service.kind {
-        state.rooms.set_capacity(plain.rooms);
+        state.rooms.set_capacity(plain.slots);
         state.loaded = true;
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of rhubarbloom: routing, admission, retries and at-most-once execution.
+//! Decision logic of rhubarbloom: routing, admission, retries and at-most-once execution.
 //!
-//! Nothing here opens a socket or reads a clock. Callers pass `now` and carry out what is
-//! returned, so that a binary, a test and a bench drive the same code.
+//! Nothing here does I/O or reads a clock. Callers pass `now` and act on the returned decision, so
+//! that binaries, tests and benchmarks run the same code.
 //!
 //! ```
 //! use rhubarb_core::parse;
@@ -14,8 +14,6 @@
 pub mod assembly;
 pub mod budget;
 pub mod change;
-pub mod edition;
-pub mod editions;
 pub mod engine;
 pub mod engines;
 pub mod events;
@@ -24,14 +22,15 @@
 pub mod flow;
 pub mod gate;
 pub mod handover;
-pub mod home;
 pub mod ids;
+pub mod key_history;
 pub mod lease;
 pub mod limit;
 pub mod list;
 pub mod load;
 pub mod members;
 pub mod outcome;
+pub mod owner;
 pub mod pace;
 pub mod parse;
 pub mod pool;
@@ -39,11 +38,12 @@
 pub mod record;
 pub mod repeat;
 pub mod returns;
+pub mod revision;
+pub mod revisions;
 pub mod rooms;
 pub mod routing;
 pub mod section;
 pub mod stages;
 pub mod subset;
 pub mod suspension;
-pub mod trust;
 pub mod usage;
--- a/crates/core/src/editions.rs
+++ b/crates/core/src/revisions.rs
@@ -1,22 +1,22 @@
-//! The edition in force at one process, and the changes that led to it.
+//! The current revision of the service list at one process, and the changes that led to it.
 
 use std::collections;
 
-use crate::{change, edition, ids};
+use crate::{change, ids, revision};
 
-/// Edition in force, with recent changes for peers that are a little behind.
+/// Current revision, with recent changes for peers that lag a few versions behind.
 #[derive(Clone, Debug, Default)]
-pub struct Editions {
-    current: edition::Edition,
+pub struct Revisions {
+    current: revision::Revision,
     recent: collections::BTreeMap<ids::ListVersion, String>,
 }
 
-/// What a new edition touches.
+/// Parts of the list that a new revision affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Touched {
+pub enum Affected {
     /// Everything may have changed.
     All,
-    /// Only what is named.
+    /// Only the named parts changed.
     Part {
         /// Callers that changed.
         callers: Vec<ids::CallerName>,
@@ -25,40 +25,40 @@
     },
 }
 
-/// What a peer needs to come up to date.
+/// Data that brings a peer up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// Changes in order, the first of which makes the given version.
+    /// Consecutive changes, the first of which leads to the given version.
     Changes(ids::ListVersion, Vec<String>),
     /// The whole row of the given version.
     Row(ids::ListVersion, String),
 }
 
-const RECENT: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 
-impl Editions {
-    /// Edition in force.
-    pub fn current(&self) -> &edition::Edition {
+impl Revisions {
+    /// Current revision.
+    pub fn current(&self) -> &revision::Revision {
         &self.current
     }
 
-    /// Version in force; 0 while there is none.
+    /// Current version; 0 while there is none.
     pub fn version(&self) -> ids::ListVersion {
         self.current.version
     }
 
-    /// Takes a whole row if it is newer.
-    pub fn take_row(&mut self, version: ids::ListVersion, row: &str) -> Option<Touched> {
+    /// Replaces the current revision by a whole row, if the row is newer and valid.
+    pub fn apply_row(&mut self, version: ids::ListVersion, row: &str) -> Option<Affected> {
         if version <= self.current.version {
             return None;
         }
-        self.current = edition::read_row(version, row)?;
+        self.current = revision::read_row(version, row)?;
         self.recent.clear();
-        Some(Touched::All)
+        Some(Affected::All)
     }
 
-    /// Takes the change that makes `version` if it follows the version in force.
-    pub fn take_change(&mut self, version: ids::ListVersion, text: &str) -> Option<Touched> {
+    /// Applies the change that leads to `version`, if it is valid and follows the current version.
+    pub fn apply_change(&mut self, version: ids::ListVersion, text: &str) -> Option<Affected> {
         if self.current.version == 0 || version != self.current.version + 1 {
             return None;
         }
@@ -67,14 +67,14 @@
             return None;
         }
         self.recent.insert(version, text.to_string());
-        while self.recent.len() > RECENT {
+        while self.recent.len() > MAX_RECENT_CHANGES {
             self.recent.pop_first();
         }
         let callers = change.callers().map(str::to_string).collect();
-        Some(Touched::Part { callers, services: change.touches_services() })
+        Some(Affected::Part { callers, services: change.affects_services() })
     }
 
-    /// What a peer with `version` needs; `None` if it is up to date.
+    /// Update for a peer that has `version`; `None` if it is up to date.
     pub fn update_from(&self, version: ids::ListVersion) -> Option<Update> {
         if version >= self.current.version {
             return None;
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,7 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, editions, fair, home, ids, list, load, pace, pool, subset};
+use rhubarb_core::{budget, fair, ids, list, load, owner, pace, pool, revisions, subset};
 use rhubarb_node::{instances, service_list};
 
 /// Pools by service and role.
@@ -20,12 +20,12 @@
     name: String,
     zone: ids::ZoneName,
     size: usize,
-    editions: editions::Editions,
+    editions: revisions::Revisions,
     pub(crate) instances: collections::BTreeMap<ids::ServerName, instances::Instance>,
     pub(crate) read_instances: bool,
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
-    members: collections::BTreeMap<ids::ServiceName, home::Members>,
+    members: collections::BTreeMap<ids::ServiceName, owner::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::Budget>,
     fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
     paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
@@ -38,7 +38,7 @@
             name: name.to_string(),
             zone: zone.to_string(),
             size,
-            editions: editions::Editions::default(),
+            editions: revisions::Revisions::default(),
             instances: collections::BTreeMap::new(),
             read_instances: false,
             pools: collections::BTreeMap::new(),
@@ -62,7 +62,7 @@
     }
 
     /// What a peer with `version` needs to come up to date.
-    pub(crate) fn update_from(&self, version: ids::ListVersion) -> Option<editions::Update> {
+    pub(crate) fn update_from(&self, version: ids::ListVersion) -> Option<revisions::Update> {
         self.editions.update_from(version)
     }
 
@@ -76,13 +76,13 @@
             return false;
         };
         match touched {
-            editions::Touched::All => {
+            revisions::Affected::All => {
                 self.digests.clear();
                 let callers: Vec<_> = self.list().callers.keys().cloned().collect();
                 self.index_callers(&callers);
                 self.rebuild(now);
             }
-            editions::Touched::Part { callers, services } => {
+            revisions::Affected::Part { callers, services } => {
                 self.digests.retain(|_, name| !callers.contains(name));
                 self.index_callers(&callers);
                 if services {
@@ -209,7 +209,7 @@
 
     /// Home of an idempotency key.
     pub(crate) fn home(&self, service: &str, key: ids::KeyHash) -> Option<ids::ServerName> {
-        self.members.get(service)?.home(key).cloned()
+        self.members.get(service)?.owner(key).cloned()
     }
 
     /// Fair shares of the callers of a service.
--- a/crates/node/src/service_list.rs
+++ b/crates/node/src/service_list.rs
@@ -3,7 +3,7 @@
 //! Each revision writes three rows in one transaction: the whole list, a head row with the same
 //! version that is cheap to poll, and the change from the previous revision.
 
-use rhubarb_core::{editions, ids};
+use rhubarb_core::{ids, revisions};
 use rhubarb_wire::message;
 
 use crate::{platform, table};
@@ -57,25 +57,25 @@
     Ok(row.map_or(ListUpdate::None, |row| ListUpdate::Row(row.version, row.value)))
 }
 
-/// Applies an update to `editions`; `None` if it is empty or does not apply.
+/// Applies an update to `revisions`; `None` if it is empty or does not apply.
 ///
 /// After a change that does not apply, the caller reads the whole list.
 pub fn apply_update(
-    editions: &mut editions::Editions,
+    revisions: &mut revisions::Revisions,
     update: &ListUpdate,
-) -> Option<editions::Touched> {
+) -> Option<revisions::Affected> {
     match update {
         ListUpdate::None => None,
-        ListUpdate::Change(version, text) => editions.take_change(*version, text),
-        ListUpdate::Row(version, row) => editions.take_row(*version, row),
+        ListUpdate::Change(version, text) => revisions.apply_change(*version, text),
+        ListUpdate::Row(version, row) => revisions.apply_row(*version, row),
     }
 }
 
 /// Converts an update to a message for a peer, with the last instance list in JSON.
-pub fn to_list_copy(update: editions::Update, instances: String) -> message::ListCopy {
+pub fn to_list_copy(update: revisions::Update, instances: String) -> message::ListCopy {
     let (version, body) = match update {
-        editions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
-        editions::Update::Changes(version, changes) => {
+        revisions::Update::Row(version, row) => (version, message::ListBody::Row(row)),
+        revisions::Update::Changes(version, changes) => {
             (version, message::ListBody::Changes(changes))
         }
     };
