--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -39,7 +39,7 @@
     /// Whether it has announced that it leaves.
     pub leaving: bool,
     /// Start of its process in Unix milliseconds, where it says so.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// What a change of the registry means for those who use the servers.
@@ -79,7 +79,7 @@
     }
 
     /// Notes that the registry answers again after an outage.
-    pub fn registry_returned(&mut self, now: time::Instant) {
+    pub fn registry_recovered(&mut self, now: time::Instant) {
         self.lenient_until = Some(now + RETURN_TIME);
     }
 
@@ -89,7 +89,7 @@
         let old = self.instances.insert(id.to_string(), instance.clone());
         let id = id.to_string();
         let Some(old) = old else { return Some(Change::Joined(id)) };
-        if old.born != instance.born || old.service != instance.service {
+        if old.started_ms != instance.started_ms || old.service != instance.service {
             return Some(Change::Joined(id));
         }
         if instance.leaving {
@@ -102,31 +102,31 @@
     }
 
     /// Takes the news that a server's entry cannot be read: it names no server to use.
-    pub fn spoil(&mut self, id: &str) -> Option<Change> {
+    pub fn set_invalid(&mut self, id: &str) -> Option<Change> {
         self.drop(id)
     }
 
     /// Takes the news that a server has no entry.
-    pub fn unset(&mut self, id: &str, now: time::Instant) -> Option<Change> {
+    pub fn remove(&mut self, id: &str, now: time::Instant) -> Option<Change> {
         if !self.instances.contains_key(id) {
             return None;
         }
         if let Some(until) = self.lenient_until.filter(|until| now < *until) {
-            self.await_return(id, until);
+            self.keep_until(id, until);
             return None;
         }
         self.drop(id)
     }
 
     /// Takes the news that a server has no entry, but may have one again until `until`.
-    pub fn await_return(&mut self, id: &str, until: time::Instant) {
+    pub fn keep_until(&mut self, id: &str, until: time::Instant) {
         if self.instances.contains_key(id) {
             self.missing.entry(id.to_string()).or_insert(until);
         }
     }
 
     /// Servers whose entries vanished around an outage, and how long they are still waited for.
-    pub fn awaited(
+    pub fn missing(
         &self,
         now: time::Instant,
     ) -> impl Iterator<Item = (&ids::ServerName, time::Duration)> {
@@ -134,7 +134,7 @@
     }
 
     /// Drops the next server whose entry did not come back in time.
-    pub fn next_gone(&mut self, now: time::Instant) -> Option<Change> {
+    pub fn next_expired(&mut self, now: time::Instant) -> Option<Change> {
         let due = self.missing.iter().find(|(_, until)| **until <= now);
         let id = due.map(|(id, _)| id.clone())?;
         self.drop(&id)
--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -25,7 +25,7 @@
         slots: 16,
         stage: Some(stage),
         leaving: false,
-        born: None,
+        started_ms: None,
     }
 }
 
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 const MILLI: time::Duration = time::Duration::from_millis(1);
 
-fn instance(born: u64, leaving: bool) -> fleet::Instance {
+fn instance(started_ms: u64, leaving: bool) -> fleet::Instance {
     fleet::Instance {
         service: "models".into(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -16,7 +16,7 @@
         slots: 16,
         stage: Some(fleet::Stage::Decode),
         leaving,
-        born: Some(born),
+        started_ms: Some(started_ms),
     }
 }
 
@@ -49,8 +49,8 @@
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
-    assert_eq!(fleet.unset("i-1", now), Some(Change::Gone("i-1".into())));
-    assert_eq!(fleet.unset("i-1", now), None);
+    assert_eq!(fleet.remove("i-1", now), Some(Change::Gone("i-1".into())));
+    assert_eq!(fleet.remove("i-1", now), None);
 }
 
 #[test]
@@ -58,11 +58,11 @@
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
-    fleet.registry_returned(now);
-    assert_eq!(fleet.unset("i-1", now + 10 * MILLI), None);
-    assert_eq!(fleet.next_gone(now + 1_000 * MILLI), None);
+    fleet.registry_recovered(now);
+    assert_eq!(fleet.remove("i-1", now + 10 * MILLI), None);
+    assert_eq!(fleet.next_expired(now + 1_000 * MILLI), None);
     fleet.set("i-1", instance(1, false));
-    assert_eq!(fleet.next_gone(now + 5_000 * MILLI), None, "its entry is back");
+    assert_eq!(fleet.next_expired(now + 5_000 * MILLI), None, "its entry is back");
 }
 
 #[test]
@@ -70,9 +70,9 @@
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
-    fleet.registry_returned(now);
-    assert_eq!(fleet.unset("i-1", now), None);
-    let gone = fleet.next_gone(now + 2_000 * MILLI);
+    fleet.registry_recovered(now);
+    assert_eq!(fleet.remove("i-1", now), None);
+    let gone = fleet.next_expired(now + 2_000 * MILLI);
     assert_eq!(gone, Some(Change::Gone("i-1".into())), "two seconds after the return");
 }
 
@@ -80,8 +80,8 @@
 fn unreadable_at_once() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
-    fleet.registry_returned(time::Instant::now());
-    assert_eq!(fleet.spoil("i-1"), Some(Change::Gone("i-1".into())));
+    fleet.registry_recovered(time::Instant::now());
+    assert_eq!(fleet.set_invalid("i-1"), Some(Change::Gone("i-1".into())));
 }
 
 #[test]
@@ -89,10 +89,10 @@
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
-    fleet.await_return("i-1", now + 500 * MILLI);
-    fleet.await_return("i-2", now + 500 * MILLI);
-    let awaited: Vec<_> = fleet.awaited(now + 100 * MILLI).collect();
+    fleet.keep_until("i-1", now + 500 * MILLI);
+    fleet.keep_until("i-2", now + 500 * MILLI);
+    let awaited: Vec<_> = fleet.missing(now + 100 * MILLI).collect();
     assert_eq!(awaited, [(&"i-1".to_string(), 400 * MILLI)], "only servers that are known");
-    assert_eq!(fleet.next_gone(now + 400 * MILLI), None);
-    assert_eq!(fleet.next_gone(now + 600 * MILLI), Some(Change::Gone("i-1".into())));
+    assert_eq!(fleet.next_expired(now + 400 * MILLI), None);
+    assert_eq!(fleet.next_expired(now + 600 * MILLI), Some(Change::Gone("i-1".into())));
 }
--- a/crates/core/tests/lost.rs
+++ b/crates/core/tests/lost.rs
@@ -23,7 +23,7 @@
         slots: 16,
         stage: Some(fleet::Stage::Decode),
         leaving: false,
-        born: None,
+        started_ms: None,
     };
     for id in ["d-0", "d-1"] {
         engines.set(id, &instance, 16, 40_000);
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -99,7 +99,7 @@
     /// What the store said, for a peer.
     pub(crate) fn snapshot(&self, now: time::Instant) -> share::Snapshot {
         let awaited =
-            self.fleet.awaited(now).map(|(key, left)| share::Awaited { key: key.clone(), left });
+            self.fleet.missing(now).map(|(key, left)| share::Awaited { key: key.clone(), left });
         self.rows.snapshot(awaited.collect())
     }
 
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -62,7 +62,7 @@
             tracing::info!(?table, version, "edge: store regained");
             let mut directory = edge.directory();
             if table == store::Table::Servers && directory.is_complete() {
-                directory.fleet.registry_returned(clock::now());
+                directory.fleet.registry_recovered(clock::now());
             }
         }
     }
@@ -147,9 +147,9 @@
         Some(Ok(instance)) => directory.fleet.set(&row.key, instance),
         Some(Err(err)) => {
             tracing::warn!(server = row.key, %err, "edge: entry not used");
-            directory.fleet.spoil(&row.key)
+            directory.fleet.set_invalid(&row.key)
         }
-        None => directory.fleet.unset(&row.key, clock::now()),
+        None => directory.fleet.remove(&row.key, clock::now()),
     };
     note_change(&mut directory, change, row.version);
 }
@@ -177,11 +177,11 @@
     for key in directory.rows.absent(rows, version) {
         directory.rows.drop_server(&key, version);
         if let Some(server) = awaited.iter().find(|server| server.key == key) {
-            directory.fleet.await_return(&key, now + server.left);
+            directory.fleet.keep_until(&key, now + server.left);
             tracing::info!(server = key, left = ?server.left, version, "edge: server waited for");
             continue;
         }
-        let change = directory.fleet.unset(&key, now);
+        let change = directory.fleet.remove(&key, now);
         note_change(&mut directory, change, version);
     }
     directory.rows.version = directory.rows.version.max(version);
@@ -200,7 +200,7 @@
         }
         edge.links.sweep();
         let mut directory = edge.directory();
-        while let Some(change) = directory.fleet.next_gone(clock::now()) {
+        while let Some(change) = directory.fleet.next_expired(clock::now()) {
             note_change(&mut directory, Some(change), 0);
         }
     }
