--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes the row as read now; whether the candidate may write it, on this version.
-    pub fn read(&mut self, row: Row<'_>, now: BootTime) -> bool {
+    pub fn observe(&mut self, row: Row<'_>, now: BootTime) -> bool {
         if self.seen.as_ref().is_none_or(|seen| seen.version != row.version) {
             self.seen = Some(Seen { version: row.version, since: now });
         }
@@ -73,7 +73,7 @@
     }
 
     /// Notes that a write sent at `sent_at` made `fence` the row's version.
-    pub fn won(&mut self, fence: Fence, sent_at: BootTime) {
+    pub fn acquired(&mut self, fence: Fence, sent_at: BootTime) {
         self.held = Some(Held { fence, renewed_at: sent_at });
         self.seen = Some(Seen { version: fence, since: sent_at });
     }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -39,12 +39,12 @@
 
 impl Members {
     /// Notes that an instance may be reached at `ip`.
-    pub fn hope(&mut self, ip: net::IpAddr, now: time::Instant) {
+    pub fn add_candidate(&mut self, ip: net::IpAddr, now: time::Instant) {
         self.hoped.insert(ip, now + HOPE);
     }
 
     /// Takes a sign of life; false for one that is older than what was heard.
-    pub fn hear(
+    pub fn record_heartbeat(
         &mut self,
         ip: net::IpAddr,
         incarnation: ids::Incarnation,
@@ -63,15 +63,15 @@
     }
 
     /// Peers that were heard lately.
-    pub fn alive(&self, now: time::Instant) -> impl Iterator<Item = net::IpAddr> {
+    pub fn live(&self, now: time::Instant) -> impl Iterator<Item = net::IpAddr> {
         let is_alive = move |peer: &Peer| now <= peer.heard_at + SILENCE;
         self.heard.iter().filter(move |(_, peer)| is_alive(peer)).map(|(ip, _)| *ip)
     }
 
     /// Peers to name in the message number `seq`: a few of the live ones, each in its turn, or all
     /// when one has joined.
-    pub fn named(&self, seq: u64, now: time::Instant) -> Vec<net::IpAddr> {
-        let alive: Vec<_> = self.alive(now).collect();
+    pub fn announced(&self, seq: u64, now: time::Instant) -> Vec<net::IpAddr> {
+        let alive: Vec<_> = self.live(now).collect();
         if self.joined_at.is_some_and(|at| now <= at + JOIN_TIME) {
             return alive;
         }
@@ -82,12 +82,12 @@
     /// Addresses to send to: live peers, then those that may be some.
     pub fn targets(&self, now: time::Instant) -> collections::BTreeSet<net::IpAddr> {
         let hoped = self.hoped.iter().filter(|(_, until)| now <= **until).map(|(ip, _)| *ip);
-        self.alive(now).chain(hoped).take(MAX_PEERS).collect()
+        self.live(now).chain(hoped).take(MAX_PEERS).collect()
     }
 
     /// Entries that share the fleet's budgets, this one included.
     pub fn count(&mut self, now: time::Instant) -> u32 {
-        let alive = self.alive(now).count() as u32 + 1;
+        let alive = self.live(now).count() as u32 + 1;
         while self.counts.front().is_some_and(|(at, _)| *at + COUNT_WINDOW < now) {
             self.counts.pop_front();
         }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -55,7 +55,7 @@
     /// Time within which an answer, or a stream's first event, is of full use.
     pub target: time::Duration,
     /// Longest pause between the events of a stream that is in time, where the route tells one.
-    pub pause: Option<time::Duration>,
+    pub max_gap: Option<time::Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services behind the route.
@@ -88,13 +88,13 @@
     /// Memory for KV cache, in tokens.
     pub memory: u32,
     /// Time for which the result of a prefill is kept.
-    pub handle_life: time::Duration,
+    pub handle_ttl: time::Duration,
     /// Time that a change of stage takes after running work has ended.
     pub switch_time: time::Duration,
     /// Tokens of one event of a stream.
     pub event_tokens: u32,
     /// Longest time for which memory can be set aside, where engines do that.
-    pub hold_life: Option<time::Duration>,
+    pub hold_ttl: Option<time::Duration>,
 }
 
 /// One service.
--- a/crates/core/src/suspension.rs
+++ b/crates/core/src/suspension.rs
@@ -22,7 +22,11 @@
     }
 
     /// Length of a suspension since the last look.
-    pub fn look(&mut self, steady: time::Instant, boot: lease::BootTime) -> Option<time::Duration> {
+    pub fn check(
+        &mut self,
+        steady: time::Instant,
+        boot: lease::BootTime,
+    ) -> Option<time::Duration> {
         let ran = steady.saturating_duration_since(self.steady);
         let passed = boot.saturating_sub(self.boot);
         (self.steady, self.boot) = (steady, boot);
--- a/crates/core/tests/clocks.rs
+++ b/crates/core/tests/clocks.rs
@@ -23,7 +23,7 @@
     for (steady, suspended, expected) in cases {
         ran += steady * MILLI;
         passed += suspended * MILLI;
-        let found = clocks.look(start + ran, passed);
+        let found = clocks.check(start + ran, passed);
         assert_eq!(found, expected.map(|millis: u32| millis * MILLI), "{steady} {suspended}");
     }
 }
--- a/crates/core/tests/leases.rs
+++ b/crates/core/tests/leases.rs
@@ -20,8 +20,8 @@
 #[test]
 fn free_row() {
     let mut lease = candidate("a");
-    assert!(lease.read(lease::Row { version: 0, holder: "" }, at(0)));
-    lease.won(7, at(1));
+    assert!(lease.observe(lease::Row { version: 0, holder: "" }, at(0)));
+    lease.acquired(7, at(1));
     assert_eq!(lease.fence(at(100)), Some(7));
     assert_eq!(lease.fence(at(3_000)), None, "long before it can lapse");
 }
@@ -30,28 +30,28 @@
 fn takeover_waits() {
     let mut lease = candidate("b");
     let row = lease::Row { version: 7, holder: "a" };
-    assert!(!lease.read(row, at(0)));
-    assert!(!lease.read(row, at(3_000)));
-    assert!(lease.read(row, at(3_600)));
+    assert!(!lease.observe(row, at(0)));
+    assert!(!lease.observe(row, at(3_000)));
+    assert!(lease.observe(row, at(3_600)));
     let renewed = lease::Row { version: 9, holder: "a" };
-    assert!(!lease.read(renewed, at(3_700)), "the holder renewed it");
-    assert!(!lease.read(renewed, at(7_000)));
+    assert!(!lease.observe(renewed, at(3_700)), "the holder renewed it");
+    assert!(!lease.observe(renewed, at(7_000)));
 }
 
 #[test]
 fn frozen_holder() {
     // The clock counts the freeze, so nothing is ordered on the old lease after the thaw.
     let mut lease = candidate("a");
-    lease.won(7, at(0));
+    lease.acquired(7, at(0));
     assert_eq!(lease.fence(at(4_000)), None);
-    assert!(!lease.read(lease::Row { version: 9, holder: "b" }, at(4_000)));
+    assert!(!lease.observe(lease::Row { version: 9, holder: "b" }, at(4_000)));
     assert_eq!(lease.fence(at(4_001)), None);
 }
 
 #[test]
 fn refused_fence() {
     let mut lease = candidate("a");
-    lease.won(7, at(0));
+    lease.acquired(7, at(0));
     lease.lost();
     assert_eq!(lease.fence(at(1)), None);
 }
@@ -73,12 +73,12 @@
             let lease = &mut leases[who];
             if lease.fence(at(now)).is_none() && kind != 0 {
                 let row = lease::Row { version, holder: &holder };
-                if lease.read(row, at(now)) {
+                if lease.observe(row, at(now)) {
                     version += 1;
                     holder = names[who].to_string();
                     // The answer of the write may be lost.
                     if kind != 1 {
-                        lease.won(version, at(now));
+                        lease.acquired(version, at(now));
                     }
                 }
             }
--- a/crates/core/tests/lost.rs
+++ b/crates/core/tests/lost.rs
@@ -90,7 +90,7 @@
             let (here, later) = way.into_iter().partition::<Vec<_>, _>(|(wait, ..)| *wait == 0);
             way = later.into_iter().map(|(wait, seq, given)| (wait - 1, seq, given)).collect();
             for (_, seq, given) in here {
-                if members.hear(ip, 1, seq, now) {
+                if members.record_heartbeat(ip, 1, seq, now) {
                     own.hear(PEER, &given, now);
                     prop_assert!(newest.as_ref().is_none_or(|(old, ..)| *old < seq));
                     newest = Some((seq, given, now));
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -14,10 +14,10 @@
 fn old_datagrams() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
-    assert!(members.hear(ip(2), 1, 5, now));
-    assert!(!members.hear(ip(2), 1, 5, now), "twice");
-    assert!(!members.hear(ip(2), 1, 4, now), "overtaken");
-    assert!(members.hear(ip(2), 2, 1, now), "a new process");
+    assert!(members.record_heartbeat(ip(2), 1, 5, now));
+    assert!(!members.record_heartbeat(ip(2), 1, 5, now), "twice");
+    assert!(!members.record_heartbeat(ip(2), 1, 4, now), "overtaken");
+    assert!(members.record_heartbeat(ip(2), 2, 1, now), "a new process");
 }
 
 #[test]
@@ -25,11 +25,11 @@
     let now = time::Instant::now();
     let mut members = members::Members::default();
     for last in 2..6 {
-        members.hear(ip(last), 1, 1, now);
+        members.record_heartbeat(ip(last), 1, 1, now);
     }
     assert_eq!(members.count(now), 5);
     let cut = now + 5 * SECOND;
-    assert_eq!(members.alive(cut).count(), 0);
+    assert_eq!(members.live(cut).count(), 0);
     assert_eq!(members.count(cut), 5, "they may live behind a cut");
     assert_eq!(members.count(now + 30 * SECOND), 1);
 }
@@ -38,10 +38,10 @@
 fn hoped_until_heard() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
-    members.hope(ip(9), now);
+    members.add_candidate(ip(9), now);
     assert!(members.targets(now).contains(&ip(9)));
     assert!(members.targets(now + 11 * SECOND).is_empty());
-    members.hear(ip(9), 1, 1, now + 9 * SECOND);
+    members.record_heartbeat(ip(9), 1, 1, now + 9 * SECOND);
     assert!(members.targets(now + 11 * SECOND).contains(&ip(9)));
 }
 
@@ -50,7 +50,7 @@
     let now = time::Instant::now();
     let mut members = members::Members::default();
     for last in 0..200 {
-        members.hope(ip(last), now);
+        members.add_candidate(ip(last), now);
     }
     assert_eq!(members.targets(now).len(), members::MAX_PEERS);
 }
@@ -59,19 +59,19 @@
 fn named_in_turn() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
-    assert!(members.named(1, now).is_empty());
+    assert!(members.announced(1, now).is_empty());
     for last in 2..12 {
-        members.hear(ip(last), 1, 1, now);
+        members.record_heartbeat(ip(last), 1, 1, now);
     }
-    assert_eq!(members.named(1, now).len(), 10, "a peer that joins hears of all");
+    assert_eq!(members.announced(1, now).len(), 10, "a peer that joins hears of all");
     let later = now + 2 * SECOND;
     for last in 2..12 {
-        members.hear(ip(last), 1, 2, later);
+        members.record_heartbeat(ip(last), 1, 2, later);
     }
-    let turns: Vec<_> = (0..5).map(|seq| members.named(seq, later)).collect();
+    let turns: Vec<_> = (0..5).map(|seq| members.announced(seq, later)).collect();
     assert!(turns.iter().all(|named| named.len() == 4));
     let all: std::collections::BTreeSet<_> = turns.concat().into_iter().collect();
     assert_eq!(all.len(), 10);
-    members.hear(ip(3), 2, 1, later);
-    assert_eq!(members.named(1, later).len(), 10, "a new process");
+    members.record_heartbeat(ip(3), 2, 1, later);
+    assert_eq!(members.announced(1, later).len(), 10, "a new process");
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -12,7 +12,7 @@
         kind: routing::Kind::Safe,
         timeout: time::Duration::from_secs(1),
         target: time::Duration::from_millis(300),
-        pause: None,
+        max_gap: None,
         priority: 1,
         splits: vec![routing::Split { service: "board".into(), weight: 1 }],
         attempts: 2,
--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/duty.rs
@@ -52,7 +52,7 @@
 fn is_first(edge: &edge::Edge) -> bool {
     let is_away = edge.away.load(atomic::Ordering::Relaxed) > 0;
     let ip = edge.settings().ip;
-    let lowest = edge.members().alive(clock::now()).min();
+    let lowest = edge.members().live(clock::now()).min();
     edge.is_ready() && !is_away && lowest.is_none_or(|lowest| ip < lowest)
 }
 
@@ -105,7 +105,7 @@
     let value = row.and_then(|row| row.value.as_deref()).unwrap_or_default();
     let other = String::from_utf8_lossy(value);
     let seen = lease::Row { version, holder: &other };
-    if !lease.read(seen, boot::time()) {
+    if !lease.observe(seen, boot::time()) {
         tracing::info!(holder = %other, version, "edge: another instance holds the lease");
         return Ok(());
     }
@@ -119,7 +119,7 @@
     match edge.store.write(write, CALL_LIMIT).await? {
         store::Written::Done(fence) => {
             tracing::info!(fence, "edge: lease to change stages held");
-            lease.won(fence, sent_at);
+            lease.acquired(fence, sent_at);
         }
         store::Written::Refused => lease.lost(),
     }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -68,7 +68,7 @@
     let mut members = edge.members();
     let count = members.count(now);
     let targets = members.targets(now);
-    edge.counters.peers.set(members.alive(now).count() as i64);
+    edge.counters.peers.set(members.live(now).count() as i64);
     drop(members);
     edge.directory().entries = count;
     targets.into_iter().filter(|ip| *ip != edge.settings().ip).collect()
@@ -76,7 +76,7 @@
 
 fn make_share(edge: &edge::Edge, seq: u64) -> share::Share {
     let now = clock::now();
-    let peers = edge.members().named(seq, now);
+    let peers = edge.members().announced(seq, now);
     let mut directory = edge.directory();
     let config = directory.known().config;
     let servers = directory.rows.newest;
@@ -116,12 +116,12 @@
         return;
     }
     let mut members = edge.members();
-    let is_new = members.alive(now).all(|ip| ip != from);
-    if !members.hear(from, share.incarnation, share.seq, now) {
+    let is_new = members.live(now).all(|ip| ip != from);
+    if !members.record_heartbeat(from, share.incarnation, share.seq, now) {
         return;
     }
     for ip in &share.peers {
-        members.hope(*ip, now);
+        members.add_candidate(*ip, now);
     }
     drop(members);
     if is_new {
@@ -239,9 +239,9 @@
 fn hope_for_seeds(edge: &edge::Edge) {
     let now = clock::now();
     let mut members = edge.members();
-    if members.alive(now).count() < edge.settings().seeds.len() {
+    if members.live(now).count() < edge.settings().seeds.len() {
         for ip in &edge.settings().seeds {
-            members.hope(*ip, now);
+            members.add_candidate(*ip, now);
         }
     }
 }
@@ -261,7 +261,7 @@
     for row in rows.rows {
         let text = row.value.and_then(|value| String::from_utf8(value).ok());
         match text.map(|text| text.parse()) {
-            Some(Ok(ip)) => members.hope(ip, now),
+            Some(Ok(ip)) => members.add_candidate(ip, now),
             Some(Err(_)) | None => {
                 tracing::warn!(key = row.key, "edge: an instance's row is not an IP number");
             }
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -34,7 +34,7 @@
         let config = self.edge.directory().config();
         let service = config.as_ref().and_then(|config| config.services.get(&call.service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        let life = engine.map_or(time::Duration::ZERO, |engine| engine.handle_life);
+        let life = engine.map_or(time::Duration::ZERO, |engine| engine.handle_ttl);
         self.read_at + life.mul_f64(USABLE_LIFE)
     }
 
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -212,7 +212,7 @@
 
 fn hold_life(call: &call::Call) -> Option<time::Duration> {
     let config = call.edge.directory().config()?;
-    config.services.get(&call.service)?.engine.as_ref()?.hold_life
+    config.services.get(&call.service)?.engine.as_ref()?.hold_ttl
 }
 
 // Whether the queue is longer than the request can wait.
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -465,7 +465,7 @@
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
             let between = (last - first).div_f64(gaps);
             let first = first - call.arrived;
-            let is_smooth = call.route.pause.is_none_or(|most| self.longest_pause <= most);
+            let is_smooth = call.route.max_gap.is_none_or(|most| self.longest_pause <= most);
             totals.answer(first, between, tokens, is_smooth && first <= call.route.target);
         });
     }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -193,7 +193,7 @@
     let mut suspended = suspension::Suspension::new(clock::now(), boot::time());
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
-        if let Some(time) = suspended.look(clock::now(), boot::time()) {
+        if let Some(time) = suspended.check(clock::now(), boot::time()) {
             let millis = time.as_millis() as u64;
             tracing::warn!(millis, "edge: was suspended, idle connections dropped");
             edge.links.drop_idle();
