--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -5,7 +5,7 @@
 use prometheus_client::metrics::{counter, gauge};
 use tokio::{sync as lock, task};
 
-use rhubarb_core::{editions, gate, ids, list, load, outcome, pace, rooms};
+use rhubarb_core::{editions, gate, ids, list, load, outcome, pace, slots};
 use rhubarb_node::{client, clock, instances, locks, metrics, objects, table};
 use rhubarb_wire::message;
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
-    pub(crate) rooms: rooms::Rooms,
+    pub(crate) rooms: slots::Slots,
     pub(crate) pace: pace::Pace,
     pub(crate) editions: editions::Editions,
     pub(crate) gone: collections::BTreeSet<ids::ServerName>,
@@ -103,7 +103,7 @@
         };
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
-            rooms: rooms::Rooms::new(0, settings.queue, RESERVATION),
+            rooms: slots::Slots::new(0, settings.queue, RESERVATION),
             pace: pace::Pace::default(),
             editions: editions::Editions::default(),
             gone: collections::BTreeSet::new(),
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, time};
 
-use rhubarb_core::{gate, ids, outcome, pace, rooms};
+use rhubarb_core::{gate, ids, outcome, pace, slots};
 use rhubarb_node::clock;
 use rhubarb_wire::message;
 
@@ -67,9 +67,9 @@
         return Admission::Refuse(Refusal::not_run(Reason::RecordsFull, RETRY_SOON));
     }
     match ask_room(agent, state, job, offer.start_by) {
-        rooms::Answer::Granted => Admission::Go,
-        rooms::Answer::Queued => Admission::Wait,
-        rooms::Answer::Refused(refusal) => {
+        slots::Answer::Granted => Admission::Go,
+        slots::Answer::Queued => Admission::Wait,
+        slots::Answer::Refused(refusal) => {
             state.gate.withdraw(offer.run, now);
             Admission::Refuse(refusal)
         }
@@ -81,7 +81,7 @@
     state: &mut agent::State,
     job: &Job,
     start_by: time::Instant,
-) -> rooms::Answer {
+) -> slots::Answer {
     let now = clock::now();
     let (excess, work, wait_by) = match job {
         Job::Plain(offer) => (offer.excess, time::Duration::ZERO, start_by),
@@ -98,9 +98,9 @@
         }
     };
     if excess {
-        state.rooms.ask_spare(job.run(), work, now)
+        state.rooms.request_spare(job.run(), work, now)
     } else {
-        state.rooms.ask_for(job.run(), work, wait_by, now)
+        state.rooms.request_work(job.run(), work, wait_by, now)
     }
 }
 
@@ -152,7 +152,7 @@
 /// Starts the decode of a reserved run.
 pub(crate) fn start_decode(agent: &Shared, order: message::Decode, sender: &Sender) {
     let run = order.run;
-    if !agent.lock().rooms.take_up(run) {
+    if !agent.lock().rooms.claim(run) {
         let refusal = Refusal::not_run(Reason::TooLate, RETRY_SOON);
         agent.lock().gate.withdraw(run, clock::now());
         return refuse(agent, run, refusal, sender);
--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -28,7 +28,7 @@
 ) -> Result<message::Prefilled, Refusal> {
     {
         let mut state = agent.lock();
-        state.rooms.take_up(order.run);
+        state.rooms.claim(order.run);
         state.gate.start(order.run, clock::now())?;
     }
     agent.metrics.runs.inc();
--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use rhubarb_core::{budget, fair, ids, pace, pool, rooms};
+use rhubarb_core::{budget, fair, ids, pace, pool, slots};
 
 use crate::{engine, event, policy};
 
@@ -16,7 +16,7 @@
 pub(crate) struct Server {
     pub(crate) name: ids::ServerName,
     pub(crate) zone: usize,
-    pub(crate) rooms: rooms::Rooms,
+    pub(crate) rooms: slots::Slots,
     pub(crate) engine: engine::Engine,
     pub(crate) pace: pace::Pace,
     pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp, collections, time};
 
-use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, rooms, usage};
+use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, slots, usage};
 
 use crate::{engine, event, frame, policy, random, request, score, server};
 
@@ -73,7 +73,7 @@
             Server {
                 name: format!("server-{number:02}"),
                 zone: number % frame::ZONES,
-                rooms: rooms::Rooms::new(rooms, QUEUE, RESERVATION),
+                rooms: slots::Slots::new(rooms, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
                 pace: pace::Pace::default(),
                 waiting: collections::BTreeMap::new(),
@@ -414,16 +414,16 @@
         let is_excess = request.share == fair::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
         let answer = if is_excess {
-            rooms.ask_spare(tag.run(), time::Duration::ZERO, self.now)
+            rooms.request_spare(tag.run(), time::Duration::ZERO, self.now)
         } else {
-            rooms.ask(tag.run(), wait_by, self.now)
+            rooms.request(tag.run(), wait_by, self.now)
         };
         match answer {
-            rooms::Answer::Granted => self.push(frame::HOP, Event::Granted { tag }),
-            rooms::Answer::Queued => {
+            slots::Answer::Granted => self.push(frame::HOP, Event::Granted { tag }),
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
             }
         }
@@ -446,16 +446,16 @@
         };
         let work = if self.policy.work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair::Share::Excess {
-            state.rooms.ask_spare(tag.run(), work, self.now)
+            state.rooms.request_spare(tag.run(), work, self.now)
         } else {
-            state.rooms.ask_for(tag.run(), work, start_by, self.now)
+            state.rooms.request_work(tag.run(), work, start_by, self.now)
         };
         match answer {
-            rooms::Answer::Granted => self.run_prefill(tag, server),
-            rooms::Answer::Queued => {
+            slots::Answer::Granted => self.run_prefill(tag, server),
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, true, refusal.reason, false, frame::HOP);
             }
         }
@@ -464,7 +464,7 @@
     fn run_prefill(&mut self, tag: Tag, server: usize) {
         let request = &mut self.requests[tag.request];
         let server_ref = &mut self.servers[server];
-        server_ref.rooms.take_up(tag.run());
+        server_ref.rooms.claim(tag.run());
         self.tally.prefilled(request.caller, request.prompt);
         request.unused = request.prompt;
         request.source = server;
@@ -490,21 +490,21 @@
         let done = self.start + time::Duration::from_millis(done_ms);
         let now = self.now;
         if self.policy.reserve {
-            if !self.servers[server].rooms.take_up(tag.run()) {
+            if !self.servers[server].rooms.claim(tag.run()) {
                 return self.refuse_later(tag, false, Reason::TooLate, false, frame::HOP);
             }
             return self.transfer(tag, server, done);
         }
         self.servers[server].done_at.insert(tag.run(), done);
-        match self.servers[server].rooms.ask(tag.run(), done + engine::KEEP_RESULT, now) {
-            rooms::Answer::Granted => {
-                self.servers[server].rooms.take_up(tag.run());
+        match self.servers[server].rooms.request(tag.run(), done + engine::KEEP_RESULT, now) {
+            slots::Answer::Granted => {
+                self.servers[server].rooms.claim(tag.run());
                 self.transfer(tag, server, done);
             }
-            rooms::Answer::Queued => {
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
             }
         }
@@ -617,7 +617,7 @@
                 self.push(frame::HOP, Event::Granted { tag });
             } else {
                 let done = self.servers[server].done_at[&run];
-                self.servers[server].rooms.take_up(run);
+                self.servers[server].rooms.claim(run);
                 self.transfer(tag, server, done);
             }
         }
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/slots.rs
@@ -11,7 +11,7 @@
 pub enum Answer {
     /// The room is reserved.
     Granted,
-    /// The request waits; [`Rooms::next_grant`] will name it.
+    /// The request waits; [`Slots::next_grant`] will name it.
     Queued,
     /// No room can be had in time.
     Refused(Refusal),
@@ -25,9 +25,9 @@
     until: Option<time::Instant>,
 }
 
-/// Rooms of one engine.
+/// Slots of one engine.
 #[derive(Clone, Debug)]
-pub struct Rooms {
+pub struct Slots {
     capacity: u32,
     max_waiting: usize,
     hold: time::Duration,
@@ -43,10 +43,10 @@
 /// Part of the rooms that is kept for callers within their share, as a divisor.
 const SPARE_DIVISOR: u32 = 10;
 
-impl Rooms {
+impl Slots {
     /// Makes `capacity` free rooms; a reservation lasts for `hold` unless it is taken up.
-    pub fn new(capacity: u32, max_waiting: usize, hold: time::Duration) -> Rooms {
-        Rooms {
+    pub fn new(capacity: u32, max_waiting: usize, hold: time::Duration) -> Slots {
+        Slots {
             capacity,
             max_waiting,
             hold,
@@ -57,12 +57,17 @@
     }
 
     /// Asks for a room that is of use until `wait_by`.
-    pub fn ask(&mut self, run: ids::RunId, wait_by: time::Instant, now: time::Instant) -> Answer {
-        self.ask_for(run, time::Duration::ZERO, wait_by, now)
+    pub fn request(
+        &mut self,
+        run: ids::RunId,
+        wait_by: time::Instant,
+        now: time::Instant,
+    ) -> Answer {
+        self.request_work(run, time::Duration::ZERO, wait_by, now)
     }
 
     /// Asks for a room for a known amount of work; the work of all who hold rooms is done in turn.
-    pub fn ask_for(
+    pub fn request_work(
         &mut self,
         run: ids::RunId,
         work: time::Duration,
@@ -112,13 +117,13 @@
     }
 
     /// Takes up the reservation of `run`; false if it was dropped meanwhile.
-    pub fn take_up(&mut self, run: ids::RunId) -> bool {
+    pub fn claim(&mut self, run: ids::RunId) -> bool {
         let holding = self.held.get_mut(&run);
         holding.map(|holding| holding.until = None).is_some()
     }
 
     /// Asks for a room that nobody else will need soon; never waits.
-    pub fn ask_spare(
+    pub fn request_spare(
         &mut self,
         run: ids::RunId,
         work: time::Duration,
--- a/crates/core/tests/rooms.rs
+++ b/crates/core/tests/slots.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 
-use rhubarb_core::rooms;
+use rhubarb_core::slots;
 
 const HOLD: time::Duration = time::Duration::from_secs(5);
 const SECOND: time::Duration = time::Duration::from_secs(1);
@@ -14,10 +14,10 @@
 #[test]
 fn earliest_first() {
     let now = time::Instant::now();
-    let mut rooms = rooms::Rooms::new(1, 8, HOLD);
-    assert_eq!(rooms.ask(1, now + SECOND, now), rooms::Answer::Granted);
-    assert_eq!(rooms.ask(2, now + 9 * SECOND, now), rooms::Answer::Queued);
-    assert_eq!(rooms.ask(3, now + 4 * SECOND, now), rooms::Answer::Queued);
+    let mut rooms = slots::Slots::new(1, 8, HOLD);
+    assert_eq!(rooms.request(1, now + SECOND, now), slots::Answer::Granted);
+    assert_eq!(rooms.request(2, now + 9 * SECOND, now), slots::Answer::Queued);
+    assert_eq!(rooms.request(3, now + 4 * SECOND, now), slots::Answer::Queued);
     assert_eq!(rooms.next_grant(now), None);
     rooms.release(1, now);
     assert_eq!(rooms.next_grant(now), Some(3));
@@ -27,41 +27,41 @@
 #[test]
 fn refuses_early() {
     let now = time::Instant::now();
-    let mut rooms = rooms::Rooms::new(1, 8, HOLD);
-    rooms.ask(1, now + SECOND, now);
-    let answer = rooms.ask(2, now + SECOND / 10, now);
-    let rooms::Answer::Refused(refusal) = answer else { panic!("{answer:?}") };
+    let mut rooms = slots::Slots::new(1, 8, HOLD);
+    rooms.request(1, now + SECOND, now);
+    let answer = rooms.request(2, now + SECOND / 10, now);
+    let slots::Answer::Refused(refusal) = answer else { panic!("{answer:?}") };
     assert!(refusal.retry.is_some_and(|retry| !retry.is_zero()), "told when to come back");
 }
 
 #[test]
 fn refuses_overflow() {
     let now = time::Instant::now();
-    let mut rooms = rooms::Rooms::new(1, 2, HOLD);
+    let mut rooms = slots::Slots::new(1, 2, HOLD);
     for run in 1..=3 {
-        let answer = rooms.ask(run, now + 60 * SECOND, now);
-        assert!(!matches!(answer, rooms::Answer::Refused(_)));
+        let answer = rooms.request(run, now + 60 * SECOND, now);
+        assert!(!matches!(answer, slots::Answer::Refused(_)));
     }
-    assert!(matches!(rooms.ask(4, now + 60 * SECOND, now), rooms::Answer::Refused(_)));
+    assert!(matches!(rooms.request(4, now + 60 * SECOND, now), slots::Answer::Refused(_)));
 }
 
 #[test]
 fn drops_unused() {
     let now = time::Instant::now();
-    let mut rooms = rooms::Rooms::new(1, 8, HOLD);
-    rooms.ask(1, now + SECOND, now);
-    rooms.ask(2, now + 2 * SECOND, now);
+    let mut rooms = slots::Slots::new(1, 8, HOLD);
+    rooms.request(1, now + SECOND, now);
+    rooms.request(2, now + 2 * SECOND, now);
     assert_eq!(rooms.next_expired(now + HOLD / 2).map(|(run, _)| run), Some(2));
     assert_eq!(rooms.next_expired(now + 2 * HOLD).map(|(run, _)| run), Some(1));
-    assert!(!rooms.take_up(1), "too late to take it up");
+    assert!(!rooms.claim(1), "too late to take it up");
 }
 
 #[test]
 fn keeps_taken() {
     let now = time::Instant::now();
-    let mut rooms = rooms::Rooms::new(1, 8, HOLD);
-    rooms.ask(1, now + SECOND, now);
-    assert!(rooms.take_up(1));
+    let mut rooms = slots::Slots::new(1, 8, HOLD);
+    rooms.request(1, now + SECOND, now);
+    assert!(rooms.claim(1));
     assert_eq!(rooms.next_expired(now + 100 * HOLD), None);
 }
 
@@ -92,17 +92,17 @@
 
     #[test]
     fn all_come_back(ops in prop::collection::vec(op(), 1..200)) {
-        let mut rooms = rooms::Rooms::new(3, 5, HOLD);
+        let mut rooms = slots::Slots::new(3, 5, HOLD);
         let mut now = time::Instant::now();
         let mut asked = collections::BTreeSet::new();
         for op in ops {
             match op {
                 Op::Ask { run, wait } if asked.insert(run) => {
-                    rooms.ask(run, now + time::Duration::from_millis(wait), now);
+                    rooms.request(run, now + time::Duration::from_millis(wait), now);
                 }
                 Op::Ask { .. } => {}
                 Op::TakeUp(run) => {
-                    rooms.take_up(run);
+                    rooms.claim(run);
                 }
                 Op::Release(run) => rooms.release(run, now),
                 Op::Grant => {
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_core::{assembly, gate, ids, limit, outcome, rooms, usage};
+use rhubarb_core::{assembly, gate, ids, limit, outcome, slots, usage};
 use rhubarb_wire::{chunk, frame, message, offer};
 
 use crate::meter;
@@ -109,11 +109,11 @@
     meter.time("look for orphans and old records among 100000", 1_000, |_| {
         (gate.next_orphan(now), gate.next_expired(now))
     });
-    let mut rooms = rooms::Rooms::new(300, 64, time::Duration::from_secs(5));
+    let mut rooms = slots::Slots::new(300, 64, time::Duration::from_secs(5));
     meter.time("reserve and free a room", 20_000, |number| {
         let run = u128::from(number);
-        rooms.ask(run, now + time::Duration::from_secs(2), now);
-        rooms.take_up(run);
+        rooms.request(run, now + time::Duration::from_secs(2), now);
+        rooms.claim(run);
         rooms.release(run, now);
     });
 }
