--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -52,7 +52,7 @@
         "loaded": state.loaded,
         "registered": state.registered,
         "leaving": load.leaving,
-        "rooms": load.rooms,
+        "rooms": load.slots,
         "held": load.held,
         "waiting": load.waiting,
         "open": state.gate.open_runs(),
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -365,7 +365,7 @@
         let delay = if is_late { frame::HOP + LATE_BY } else { frame::HOP };
         if self.servers[server].is_there() {
             let load = self.servers[server].rooms.load(self.now);
-            let load = (load.rooms, load.held, load.waiting, load.queue_ms);
+            let load = (load.slots, load.held, load.waiting, load.queue_ms);
             self.push(delay, Event::Heard { entry, server, load });
         }
         self.push(REPORT_PERIOD, Event::Report { entry, server });
@@ -373,7 +373,7 @@
 
     fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
         let (rooms, held, waiting, queue_ms) = load;
-        let load = load::Load { rooms, held, waiting, queue_ms, leaving: false };
+        let load = load::Load { slots: rooms, held, waiting, queue_ms, leaving: false };
         let is_prefill = server < self.run.fleet.prefills;
         let entry = &mut self.entries[entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that the server can hold at once.
-    pub rooms: u32,
+    pub slots: u32,
     /// Requests that hold engine memory or a reservation now.
     pub held: u32,
     /// Requests waiting at the agent.
@@ -25,7 +25,7 @@
     fn serialize<S: ser::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         use ser::SerializeTuple;
         let mut tuple = serializer.serialize_tuple(FIELDS)?;
-        tuple.serialize_element(&self.rooms)?;
+        tuple.serialize_element(&self.slots)?;
         tuple.serialize_element(&self.held)?;
         tuple.serialize_element(&self.waiting)?;
         tuple.serialize_element(&self.queue_ms)?;
@@ -52,7 +52,7 @@
     fn visit_seq<A: de::SeqAccess<'de>>(self, mut seq: A) -> Result<Load, A::Error> {
         let missing = |at| de::Error::invalid_length(at, &"five fields");
         Ok(Load {
-            rooms: seq.next_element()?.ok_or_else(|| missing(0))?,
+            slots: seq.next_element()?.ok_or_else(|| missing(0))?,
             held: seq.next_element()?.ok_or_else(|| missing(1))?,
             waiting: seq.next_element()?.ok_or_else(|| missing(2))?,
             queue_ms: seq.next_element()?.ok_or_else(|| missing(3))?,
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -142,7 +142,7 @@
         let usable = self.servers.values().filter(|server| {
             let is_fresh = server.heard_at.is_some_and(|heard| now <= heard + STALE_AFTER);
             let is_ejected = server.ejected.is_some_and(|until| now < until);
-            is_fresh && server.load.rooms > 0 && !server.leaving && !is_ejected
+            is_fresh && server.load.slots > 0 && !server.leaving && !is_ejected
         });
         usable.count()
     }
@@ -340,7 +340,7 @@
 
 fn busy_score(server: &Server) -> u64 {
     let busy = u64::from(server.load.held + 2 * server.load.waiting + server.sent);
-    busy.max(u64::from(server.open)) * SCALE / u64::from(server.load.rooms.max(1))
+    busy.max(u64::from(server.open)) * SCALE / u64::from(server.load.slots.max(1))
 }
 
 // What was reported is worked off meanwhile. One second of work weighs as much as full rooms.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -182,7 +182,7 @@
     /// Writes the rooms' part of a load report.
     pub fn load(&self, now: time::Instant) -> load::Load {
         load::Load {
-            rooms: self.capacity,
+            slots: self.capacity,
             held: self.held.len() as u32,
             waiting: self.waiting.len() as u32,
             queue_ms: self.queue_ms(now),
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -20,7 +20,7 @@
 }
 
 fn load(held: u32) -> load::Load {
-    load::Load { rooms: 20, held, ..load::Load::default() }
+    load::Load { slots: 20, held, ..load::Load::default() }
 }
 
 /// How often each server is chosen in many choices.
--- a/crates/core/tests/queueing.rs
+++ b/crates/core/tests/queueing.rs
@@ -7,7 +7,7 @@
 const MILLI: time::Duration = time::Duration::from_millis(1);
 
 fn load(waiting: u32) -> load::Load {
-    load::Load { rooms: 6, held: 6, waiting, ..load::Load::default() }
+    load::Load { slots: 6, held: 6, waiting, ..load::Load::default() }
 }
 
 #[test]
--- a/crates/core/tests/records.rs
+++ b/crates/core/tests/records.rs
@@ -11,7 +11,7 @@
     for number in 0..count {
         let name = format!("s-{number}");
         pool.add(&name, "hall-a");
-        pool.hear(&name, load::Load { rooms: 6, ..load::Load::default() }, now);
+        pool.hear(&name, load::Load { slots: 6, ..load::Load::default() }, now);
     }
     pool
 }
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -166,7 +166,7 @@
         service.pool.add(id, &instance.zone);
         if is_new {
             let rooms = instance.slots;
-            let idle = load::Load { rooms, ..load::Load::default() };
+            let idle = load::Load { slots: rooms, ..load::Load::default() };
             service.pool.hear(id, idle, rhubarb_node::clock::now());
         }
         service.pool.set_leaving(id, instance.leaving);
@@ -232,7 +232,7 @@
         let Service { pool, queueing, .. } = self.service(service);
         let Some(mut id) = pool.pick(wish, now) else { return Choice::None };
         let is_late = |id: &str| {
-            let slots = pool.get(id).map_or(0, |server| server.load.rooms);
+            let slots = pool.get(id).map_or(0, |server| server.load.slots);
             queueing.limit(slots, target).is_some_and(|limit| pool.busy(id) >= limit)
         };
         if is_late(&id) {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -256,7 +256,7 @@
         let pools = self.pools.iter().filter(|((name, _), _)| name == service);
         let mut pools = pools.filter(|(_, pool)| pool.names().next().is_some());
         pools.all(|(_, pool)| {
-            pool.names().filter_map(|name| pool.get(name)).any(|server| server.load.rooms > 0)
+            pool.names().filter_map(|name| pool.get(name)).any(|server| server.load.slots > 0)
         })
     }
 
--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -32,7 +32,7 @@
         incarnation: u64::MAX,
         seq: 1_000_000,
         version: 100_000,
-        load: load::Load { rooms: 300, held: 280, waiting: 10, queue_ms: 900, leaving: false },
+        load: load::Load { slots: 300, held: 280, waiting: 10, queue_ms: 900, leaving: false },
     });
     let sealed = datagram::seal(&keys, &report);
     meter.size("load request, without IP and UDP headers", datagram::seal(&keys, &follow).len());
@@ -47,7 +47,7 @@
     for number in 0..SUBSET {
         let name = format!("server-{number}");
         pool.add(&name, if number % 3 == 0 { "zone-2" } else { "zone-1" });
-        let load = load::Load { rooms: 20, held: number, ..load::Load::default() };
+        let load = load::Load { slots: 20, held: number, ..load::Load::default() };
         pool.hear(&name, load, now);
     }
     meter.time("choose a server of a subset of 12", 20_000, |number| {
@@ -82,7 +82,7 @@
         seq: 100_000,
         clock_ms: 100_000_000,
         version: 100_000,
-        load: load::Load { rooms: 300, held: 280, waiting: 10, queue_ms: 900, leaving: false },
+        load: load::Load { slots: 300, held: 280, waiting: 10, queue_ms: 900, leaving: false },
     });
     let bytes = frame::encode(&ping).len() + frame::encode(&pong).len();
     meter.size("ping and pong on a link, without IP and TCP headers", bytes);
