--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -50,7 +50,7 @@
 pub(crate) fn make_pool(zone: usize, servers: &[Server], policy: &policy::Policy) -> pool::Pool {
     let tuning = pool::Tuning {
         suspect_after: policy.judge.then_some(SUSPECT_AFTER),
-        growing: policy.judge,
+        backoff: policy.judge,
     };
     let mut pool = pool::Pool::new(format!("zone-{zone}"));
     pool.set_tuning(tuning);
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -265,7 +265,7 @@
                     .then(|| ids::digest(&[&request.prefix.to_be_bytes()]));
                 let by_work = is_prefill && self.policy.work;
                 let tried = request.flow.tried();
-                let wish = pool::Wish { tried, affinity, random, by_work };
+                let wish = pool::Criteria { tried, affinity, random, by_work };
                 pool.pick(wish, self.now)?
             }
         };
@@ -274,7 +274,7 @@
         } else {
             time::Duration::ZERO
         };
-        pool.sent(&name, work);
+        pool.record_sent(&name, work);
         self.servers.iter().position(|server| server.name == name)
     }
 
@@ -282,27 +282,31 @@
         if self.requests[tag.request].attempt != tag.attempt || self.requests[tag.request].closed {
             return;
         }
-        let end = if self.policy.judge { pool::End::Open } else { pool::End::Good };
+        let end = if self.policy.judge {
+            pool::ServerOutcome::Unknown
+        } else {
+            pool::ServerOutcome::Success
+        };
         self.note_end(tag.request, true, end);
         self.tell(tag.request, &flow::Event::Prefilled);
     }
 
-    fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::End) {
+    fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::ServerOutcome) {
         let request = &mut self.requests[number];
         let server = if is_prefill { request.prefill.take() } else { request.decode.take() };
         let Some(server) = server else { return };
         let entry = &mut self.entries[request.entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
-        pool.ended(&self.servers[server].name, end, self.now);
+        pool.record_end(&self.servers[server].name, end, self.now);
     }
 
-    fn judge_source(&mut self, number: usize, end: pool::End) {
+    fn judge_source(&mut self, number: usize, end: pool::ServerOutcome) {
         if !self.policy.judge {
             return;
         }
         let request = &self.requests[number];
         let entry = &mut self.entries[request.entry];
-        entry.prefills.judge(&self.servers[request.source].name, end, self.now);
+        entry.prefills.record_outcome(&self.servers[request.source].name, end, self.now);
     }
 
     fn refused(&mut self, tag: Tag, at_prefill: bool, reason: Reason, ran: bool) {
@@ -321,9 +325,9 @@
         let entry = request.entry;
         let retry = is_left && self.entries[entry].budget.take(reason);
         self.requests[tag.request].refusal = Some(refusal);
-        self.note_end(tag.request, at_prefill, pool::End::Bad(reason));
+        self.note_end(tag.request, at_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
-            self.judge_source(tag.request, pool::End::Bad(reason));
+            self.judge_source(tag.request, pool::ServerOutcome::Failure(reason));
         }
         self.tell(tag.request, &flow::Event::Failed { server, refusal, retry });
     }
@@ -334,8 +338,8 @@
         for server in [request.decode, request.prefill].into_iter().flatten() {
             self.push(frame::HOP, Event::Cancel { tag, server });
         }
-        self.note_end(number, false, pool::End::Open);
-        self.note_end(number, true, pool::End::Open);
+        self.note_end(number, false, pool::ServerOutcome::Unknown);
+        self.note_end(number, true, pool::ServerOutcome::Unknown);
         let request = &mut self.requests[number];
         let unused = std::mem::take(&mut request.unused);
         let reason = request.refusal.map_or(Reason::CallerGone, |refusal| refusal.reason);
@@ -347,7 +351,7 @@
     }
 
     fn finish(&mut self, number: usize) {
-        self.note_end(number, false, pool::End::Good);
+        self.note_end(number, false, pool::ServerOutcome::Success);
         let request = &mut self.requests[number];
         request.closed = true;
         self.entries[request.entry].budget.deposit();
@@ -377,7 +381,7 @@
         let is_prefill = server < self.run.fleet.prefills;
         let entry = &mut self.entries[entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
-        pool.hear(&self.servers[server].name, load, self.now);
+        pool.update_load(&self.servers[server].name, load, self.now);
     }
 
     // --- agents ---
@@ -579,7 +583,7 @@
         request.first_at.get_or_insert(at);
         request.last_at = Some(at);
         if is_first {
-            self.judge_source(stream.request, pool::End::Good);
+            self.judge_source(stream.request, pool::ServerOutcome::Success);
         }
     }
 
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -14,7 +14,7 @@
     /// Last load heard.
     pub load: load::Load,
     /// When the load was heard.
-    pub heard_at: Option<time::Instant>,
+    pub reported_at: Option<time::Instant>,
     /// Requests sent since the load was heard, which it does not count yet.
     pub sent: u32,
     /// Work sent since the load was heard.
@@ -26,7 +26,7 @@
     /// Consecutive ejections.
     pub ejections: u32,
     /// Not chosen until then, unless all servers are ejected.
-    pub ejected: Option<time::Instant>,
+    pub ejected_until: Option<time::Instant>,
     /// Known to be leaving.
     pub leaving: bool,
     /// Failures among its own answers.
@@ -39,23 +39,23 @@
     /// A server that was heard before and not for this long is used like an ejected one.
     pub suspect_after: Option<time::Duration>,
     /// Whether each ejection in a row lasts twice as long as the one before.
-    pub growing: bool,
+    pub backoff: bool,
 }
 
 /// What the end of a request tells of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ServerOutcome {
     /// The server did its part, and it was of use.
-    Good,
+    Success,
     /// Nothing is known of its use.
-    Open,
+    Unknown,
     /// The server refused or failed.
-    Bad(Reason),
+    Failure(Reason),
 }
 
 /// What an entry believes of a server's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct Estimate {
     /// Requests that it has, running and waiting.
     pub busy: u32,
     /// Age of its last word on that.
@@ -72,7 +72,7 @@
 
 /// What a request asks of the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// Servers that already failed or refused this request.
     pub tried: &'a [ids::ServerName],
     /// Hash of the prompt's prefix, whose preferred server wins if it is not loaded more.
@@ -100,7 +100,7 @@
 impl Pool {
     /// Makes an empty pool for an entry in `zone`.
     pub fn new(zone: ids::ZoneName) -> Pool {
-        let tuning = Tuning { suspect_after: None, growing: false };
+        let tuning = Tuning { suspect_after: None, backoff: false };
         Pool { zone, tuning, servers: collections::BTreeMap::new() }
     }
 
@@ -114,13 +114,13 @@
         let fresh = || Server {
             zone: zone.to_string(),
             load: load::Load::default(),
-            heard_at: None,
+            reported_at: None,
             sent: 0,
             sent_work: time::Duration::ZERO,
             open: 0,
             failures: 0,
             ejections: 0,
-            ejected: None,
+            ejected_until: None,
             leaving: false,
             record: record::Record::default(),
         };
@@ -140,8 +140,8 @@
     /// Servers that were heard lately, have room to offer, and neither leave nor are ejected.
     pub fn usable_count(&self, now: time::Instant) -> usize {
         let usable = self.servers.values().filter(|server| {
-            let is_fresh = server.heard_at.is_some_and(|heard| now <= heard + STALE_AFTER);
-            let is_ejected = server.ejected.is_some_and(|until| now < until);
+            let is_fresh = server.reported_at.is_some_and(|heard| now <= heard + STALE_AFTER);
+            let is_ejected = server.ejected_until.is_some_and(|until| now < until);
             is_fresh && server.load.slots > 0 && !server.leaving && !is_ejected
         });
         usable.count()
@@ -158,10 +158,10 @@
     }
 
     /// Takes a load report.
-    pub fn hear(&mut self, name: &str, load: load::Load, now: time::Instant) {
+    pub fn update_load(&mut self, name: &str, load: load::Load, now: time::Instant) {
         if let Some(server) = self.servers.get_mut(name) {
             server.load = load;
-            server.heard_at = Some(now);
+            server.reported_at = Some(now);
             server.sent = 0;
             server.sent_work = time::Duration::ZERO;
             server.leaving = load.leaving;
@@ -176,7 +176,7 @@
     }
 
     /// Notes a request sent to a server, with the work expected of it.
-    pub fn sent(&mut self, name: &str, work: time::Duration) {
+    pub fn record_sent(&mut self, name: &str, work: time::Duration) {
         if let Some(server) = self.servers.get_mut(name) {
             server.sent += 1;
             server.sent_work += work;
@@ -185,37 +185,37 @@
     }
 
     /// Notes the end of a request.
-    pub fn ended(&mut self, name: &str, end: End, now: time::Instant) {
+    pub fn record_end(&mut self, name: &str, end: ServerOutcome, now: time::Instant) {
         if let Some(server) = self.servers.get_mut(name) {
             server.open = server.open.saturating_sub(1);
         }
-        self.judge(name, end, now);
+        self.record_outcome(name, end, now);
     }
 
     /// Takes in what is known of a server.
     ///
     /// A server that says that it leaves is not chosen until it reports otherwise; one that
     /// cannot be reached, or fails repeatedly, is ejected for a while.
-    pub fn judge(&mut self, name: &str, end: End, now: time::Instant) {
-        let growing = self.tuning.growing;
+    pub fn record_outcome(&mut self, name: &str, end: ServerOutcome, now: time::Instant) {
+        let growing = self.tuning.backoff;
         let Some(server) = self.servers.get_mut(name) else { return };
         match end {
-            End::Good => {
+            ServerOutcome::Success => {
                 server.failures = 0;
                 server.ejections = 0;
             }
-            End::Bad(Reason::Leaving) => server.leaving = true,
+            ServerOutcome::Failure(Reason::Leaving) => server.leaving = true,
             // With decode room reserved, only a source that cannot send lets its result expire.
-            End::Bad(Reason::Evicted) => server.eject(EJECT_FOR, growing, now),
-            End::Bad(Reason::NoServer) => server.eject(UNREACHABLE_FOR, growing, now),
-            End::Bad(reason) if is_fault(reason) => {
+            ServerOutcome::Failure(Reason::Evicted) => server.eject(EJECT_FOR, growing, now),
+            ServerOutcome::Failure(Reason::NoServer) => server.eject(UNREACHABLE_FOR, growing, now),
+            ServerOutcome::Failure(reason) if is_fault(reason) => {
                 server.failures += 1;
                 if server.failures >= EJECT_AFTER {
                     server.failures = 0;
                     server.eject(EJECT_FOR, growing, now);
                 }
             }
-            End::Open | End::Bad(_) => {}
+            ServerOutcome::Unknown | ServerOutcome::Failure(_) => {}
         }
     }
 
@@ -223,15 +223,15 @@
     ///
     /// A server that fails far more often than the others is left out for a while, as long as
     /// most of the others are not.
-    pub fn answered(&mut self, name: &str, has_failed: bool, now: time::Instant) {
+    pub fn record_answer(&mut self, name: &str, has_failed: bool, now: time::Instant) {
         let Some(server) = self.servers.get_mut(name) else { return };
         server.record.note(has_failed);
         let others: Vec<_> = self.servers.iter().filter(|(other, _)| *other != name).collect();
         let records = others.iter().map(|(_, server)| &server.record);
         let usual = record::median(records);
-        let is_out = |server: &Server| server.ejected.is_some_and(|until| now < until);
+        let is_out = |server: &Server| server.ejected_until.is_some_and(|until| now < until);
         let out = others.iter().filter(|(_, server)| is_out(server)).count();
-        let growing = self.tuning.growing;
+        let growing = self.tuning.backoff;
         if out * MAX_OUT_DIVISOR >= self.servers.len() {
             return;
         }
@@ -247,7 +247,7 @@
     ///
     /// Ejected servers are used only when no other is left, and tried ones only after those;
     /// leaving ones never.
-    pub fn pick(&self, wish: Wish<'_>, now: time::Instant) -> Option<ids::ServerName> {
+    pub fn pick(&self, wish: Criteria<'_>, now: time::Instant) -> Option<ids::ServerName> {
         let usable = self.candidates(wish.tried, |_| true, now);
         let count = usable.len();
         let at = wish.random as u32 as usize % count.max(1);
@@ -272,9 +272,9 @@
     }
 
     /// What is believed of a server's load.
-    pub fn belief(&self, name: &str, now: time::Instant) -> Option<Belief> {
-        let heard = self.servers.get(name)?.heard_at?;
-        Some(Belief { busy: self.busy(name), age: now.saturating_duration_since(heard) })
+    pub fn estimate(&self, name: &str, now: time::Instant) -> Option<Estimate> {
+        let heard = self.servers.get(name)?.reported_at?;
+        Some(Estimate { busy: self.busy(name), age: now.saturating_duration_since(heard) })
     }
 
     /// Servers to choose from among those that are `allowed`, in the order of [`Pool::pick`]:
@@ -288,7 +288,7 @@
         let staying =
             || self.servers.iter().filter(|(name, server)| !server.leaving && allowed(name));
         let is_sound = |server: &Server| {
-            server.ejected.is_none_or(|until| until <= now) && !self.is_suspect(server, now)
+            server.ejected_until.is_none_or(|until| until <= now) && !self.is_suspect(server, now)
         };
         let is_tried = |name: &ids::ServerName| tried.iter().any(|other| other == name);
         let by_rank = |rank: usize| {
@@ -304,7 +304,7 @@
     }
 
     fn is_suspect(&self, server: &Server, now: time::Instant) -> bool {
-        let (Some(after), Some(heard)) = (self.tuning.suspect_after, server.heard_at) else {
+        let (Some(after), Some(heard)) = (self.tuning.suspect_after, server.reported_at) else {
             return false;
         };
         now > heard + after
@@ -316,7 +316,7 @@
         if server.zone != self.zone {
             score += AWAY_SCORE;
         }
-        if server.heard_at.is_none_or(|heard| now > heard + STALE_AFTER) {
+        if server.reported_at.is_none_or(|heard| now > heard + STALE_AFTER) {
             score += STALE_SCORE;
         }
         score
@@ -327,9 +327,9 @@
     fn eject(&mut self, time: time::Duration, growing: bool, now: time::Instant) {
         let factor = if growing { 1 << self.ejections.min(MAX_DOUBLINGS) } else { 1 };
         // Requests that fail together eject the server once.
-        if self.ejected.is_none_or(|until| until <= now) {
+        if self.ejected_until.is_none_or(|until| until <= now) {
             self.ejections += 1;
-            self.ejected = Some(now + time * factor);
+            self.ejected_until = Some(now + time * factor);
         }
     }
 }
@@ -346,7 +346,7 @@
 // What was reported is worked off meanwhile. One second of work weighs as much as full rooms.
 fn work_score(server: &Server, now: time::Instant) -> u64 {
     let reported = time::Duration::from_millis(u64::from(server.load.queue_ms));
-    let since = server.heard_at.map_or(time::Duration::ZERO, |heard| now - heard);
+    let since = server.reported_at.map_or(time::Duration::ZERO, |heard| now - heard);
     let left = (reported + server.sent_work).saturating_sub(since);
     left.as_millis() as u64 * SCALE / WORK_SCALE_MS
 }
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -10,11 +10,11 @@
 
 fn pool(count: usize, now: time::Instant) -> pool::Pool {
     let mut pool = pool::Pool::new("zone-1".into());
-    pool.set_tuning(pool::Tuning { suspect_after: Some(3 * SECOND), growing: true });
+    pool.set_tuning(pool::Tuning { suspect_after: Some(3 * SECOND), backoff: true });
     for number in 0..count {
         let name = format!("s-{number}");
         pool.add(&name, "zone-1");
-        pool.hear(&name, load(0), now);
+        pool.update_load(&name, load(0), now);
     }
     pool
 }
@@ -28,7 +28,7 @@
     let mut counts = collections::BTreeMap::new();
     for number in 0..2000u64 {
         let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wish = pool::Wish { tried, affinity: None, random, by_work: false };
+        let wish = pool::Criteria { tried, affinity: None, random, by_work: false };
         if let Some(name) = pool.pick(wish, now) {
             *counts.entry(name).or_insert(0) += 1;
         }
@@ -41,7 +41,7 @@
 fn less_loaded() {
     let now = time::Instant::now();
     let mut pool = pool(3, now);
-    pool.hear("s-0", load(20), now);
+    pool.update_load("s-0", load(20), now);
     let counts = counts(&pool, &[], now);
     assert_eq!(counts[0], 0, "two different servers are compared: {counts:?}");
 }
@@ -51,7 +51,7 @@
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     for _ in 0..10 {
-        pool.sent("s-0", time::Duration::ZERO);
+        pool.record_sent("s-0", time::Duration::ZERO);
     }
     let counts = counts(&pool, &[], now);
     assert!(counts[0] < counts[1], "sent since the report: {counts:?}");
@@ -70,7 +70,7 @@
 fn leaving_never() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
-    pool.judge("s-0", pool::End::Bad(Reason::Leaving), now);
+    pool.record_outcome("s-0", pool::ServerOutcome::Failure(Reason::Leaving), now);
     assert_eq!(counts(&pool, &[], now)[0], 0);
     pool.set_leaving("s-1", true);
     assert_eq!(counts(&pool, &[], now), [0, 0]);
@@ -81,7 +81,7 @@
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     for name in ["s-0", "s-1"] {
-        pool.judge(name, pool::End::Bad(Reason::NoServer), now);
+        pool.record_outcome(name, pool::ServerOutcome::Failure(Reason::NoServer), now);
     }
     assert!(counts(&pool, &[], now).iter().all(|count| *count > 0), "all are ejected");
     let tried = ["s-0".to_string(), "s-1".to_string()];
@@ -92,17 +92,17 @@
 fn ejection_grows() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
-    pool.judge("s-0", pool::End::Bad(Reason::Evicted), now);
-    pool.hear("s-1", load(0), now + 4 * SECOND);
+    pool.record_outcome("s-0", pool::ServerOutcome::Failure(Reason::Evicted), now);
+    pool.update_load("s-1", load(0), now + 4 * SECOND);
     assert_eq!(counts(&pool, &[], now + 4 * SECOND)[0], 0);
     let later = now + 6 * SECOND;
     for name in ["s-0", "s-1"] {
-        pool.hear(name, load(0), later);
+        pool.update_load(name, load(0), later);
     }
     assert!(counts(&pool, &[], later)[0] > 0);
-    pool.judge("s-0", pool::End::Bad(Reason::Evicted), later);
+    pool.record_outcome("s-0", pool::ServerOutcome::Failure(Reason::Evicted), later);
     for name in ["s-0", "s-1"] {
-        pool.hear(name, load(0), later + 8 * SECOND);
+        pool.update_load(name, load(0), later + 8 * SECOND);
     }
     assert_eq!(counts(&pool, &[], later + 8 * SECOND)[0], 0, "twice as long");
 }
@@ -112,7 +112,7 @@
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     let later = now + 4 * SECOND;
-    pool.hear("s-1", load(19), later);
+    pool.update_load("s-1", load(19), later);
     assert_eq!(counts(&pool, &[], later)[0], 0, "it stopped reporting");
 }
 
@@ -163,9 +163,9 @@
 fn belief_told() {
     let now = time::Instant::now();
     let mut pool = pool(1, now);
-    pool.hear("s-0", load(3), now);
-    pool.sent("s-0", time::Duration::ZERO);
-    let belief = pool.belief("s-0", now + SECOND).unwrap();
+    pool.update_load("s-0", load(3), now);
+    pool.record_sent("s-0", time::Duration::ZERO);
+    let belief = pool.estimate("s-0", now + SECOND).unwrap();
     assert_eq!((belief.busy, belief.age), (4, SECOND), "as it told, and what was sent since");
-    assert_eq!(pool.belief("s-9", now), None);
+    assert_eq!(pool.estimate("s-9", now), None);
 }
--- a/crates/core/tests/records.rs
+++ b/crates/core/tests/records.rs
@@ -11,7 +11,7 @@
     for number in 0..count {
         let name = format!("s-{number}");
         pool.add(&name, "hall-a");
-        pool.hear(&name, load::Load { slots: 6, ..load::Load::default() }, now);
+        pool.update_load(&name, load::Load { slots: 6, ..load::Load::default() }, now);
     }
     pool
 }
@@ -19,7 +19,7 @@
 // Every `every`th answer of a server is a failure.
 fn answer(pool: &mut pool::Pool, name: &str, count: u32, every: u32, now: time::Instant) {
     for number in 0..count {
-        pool.answered(name, number % every == every - 1, now);
+        pool.record_answer(name, number % every == every - 1, now);
     }
 }
 
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -53,7 +53,7 @@
 /// Servers that cannot be reached, time after time, are asked less and less often.
 fn new_pool(zone: &str) -> pool::Pool {
     let mut pool = pool::Pool::new(zone.to_string());
-    pool.set_tuning(pool::Tuning { suspect_after: None, growing: true });
+    pool.set_tuning(pool::Tuning { suspect_after: None, backoff: true });
     pool
 }
 
@@ -61,10 +61,10 @@
 ///
 /// Whether a server leaves is the store's to say; one that another has the address of is only
 /// left out for a while, until its entry changes.
-pub(crate) fn bad_end(reason: outcome::Reason) -> pool::End {
+pub(crate) fn bad_end(reason: outcome::Reason) -> pool::ServerOutcome {
     match reason {
-        outcome::Reason::Leaving => pool::End::Bad(outcome::Reason::NoServer),
-        reason => pool::End::Bad(reason),
+        outcome::Reason::Leaving => pool::ServerOutcome::Failure(outcome::Reason::NoServer),
+        reason => pool::ServerOutcome::Failure(reason),
     }
 }
 
@@ -167,7 +167,7 @@
         if is_new {
             let rooms = instance.slots;
             let idle = load::Load { slots: rooms, ..load::Load::default() };
-            service.pool.hear(id, idle, rhubarb_node::clock::now());
+            service.pool.update_load(id, idle, rhubarb_node::clock::now());
         }
         service.pool.set_leaving(id, instance.leaving);
         if let Some(engine) = engine {
@@ -228,7 +228,7 @@
         tried: &[ids::ServerName],
         now: time::Instant,
     ) -> Choice {
-        let wish = pool::Wish { tried, affinity: None, random: rand::random(), by_work: false };
+        let wish = pool::Criteria { tried, affinity: None, random: rand::random(), by_work: false };
         let Service { pool, queueing, .. } = self.service(service);
         let Some(mut id) = pool.pick(wish, now) else { return Choice::None };
         let is_late = |id: &str| {
@@ -245,7 +245,7 @@
             }
             id = least;
         }
-        pool.sent(&id, time::Duration::ZERO);
+        pool.record_sent(&id, time::Duration::ZERO);
         self.target(&id).map_or(Choice::None, Choice::Server)
     }
 
@@ -264,7 +264,7 @@
     pub(crate) fn hear(&mut self, service: &str, id: &str, load: load::Load, now: time::Instant) {
         // Whether a server leaves is the store's to say.
         let leaving = self.fleet.get(id).is_none_or(|instance| instance.leaving);
-        self.service(service).pool.hear(id, load::Load { leaving, ..load }, now);
+        self.service(service).pool.update_load(id, load::Load { leaving, ..load }, now);
     }
 
     /// Changes the bounds on repeated sends.
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -28,7 +28,7 @@
     failure: Option<Whole>,
     answer: Option<Whole>,
     // What was believed of the server that was chosen last.
-    belief: Option<pool::Belief>,
+    belief: Option<pool::Estimate>,
 }
 
 #[derive(Debug)]
@@ -106,7 +106,7 @@
         let mut directory = call.edge.directory();
         let choice = directory.pick(&call.service, call.route.target, self.flow.tried(), now);
         if let directory::Choice::Server(target) = &choice {
-            self.belief = directory.service(&call.service).pool.belief(&target.id, now);
+            self.belief = directory.service(&call.service).pool.estimate(&target.id, now);
         }
         choice
     }
@@ -181,16 +181,18 @@
 
     fn judge(&self, target: &directory::Target, attempt: &Attempt) {
         let end = match attempt {
-            Attempt::Whole(whole) if whole.head.status().is_server_error() => pool::End::Open,
-            Attempt::Whole(_) => pool::End::Good,
+            Attempt::Whole(whole) if whole.head.status().is_server_error() => {
+                pool::ServerOutcome::Unknown
+            }
+            Attempt::Whole(_) => pool::ServerOutcome::Success,
             Attempt::Failed(refusal) => directory::bad_end(refusal.reason),
-            Attempt::Gone => pool::End::Open,
+            Attempt::Gone => pool::ServerOutcome::Unknown,
         };
         let mut directory = self.call.edge.directory();
         let pool = &mut directory.service(&self.call.service).pool;
-        pool.ended(&target.id, end, clock::now());
+        pool.record_end(&target.id, end, clock::now());
         if let Attempt::Whole(whole) = attempt {
-            pool.answered(&target.id, whole.head.status().is_server_error(), clock::now());
+            pool.record_answer(&target.id, whole.head.status().is_server_error(), clock::now());
         }
     }
 
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -129,7 +129,7 @@
         reply::Waited::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
         reply::Waited::Event(Err(links::SendError::Unsent(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill not sent");
-            note_end(call, &target.id, pool::End::Bad(Reason::NoServer));
+            note_end(call, &target.id, pool::ServerOutcome::Failure(Reason::NoServer));
             return Read::Unsent(target.id);
         }
         reply::Waited::Event(Err(links::SendError::Broken(err))) => {
@@ -138,9 +138,10 @@
         }
         reply::Waited::Event(Ok(read)) => take(call, &target, &read),
     };
-    let end = result
-        .as_ref()
-        .map_or_else(|refusal| directory::bad_end(refusal.reason), |_| pool::End::Open);
+    let end = result.as_ref().map_or_else(
+        |refusal| directory::bad_end(refusal.reason),
+        |_| pool::ServerOutcome::Unknown,
+    );
     note_end(call, &target.id, end);
     match result {
         Ok(prefilled) => {
@@ -219,6 +220,6 @@
 }
 
 /// Notes what is known of a server of the call's service.
-pub(crate) fn note_end(call: &call::Call, server: &str, end: pool::End) {
-    call.edge.directory().service(&call.service).pool.judge(server, end, clock::now());
+pub(crate) fn note_end(call: &call::Call, server: &str, end: pool::ServerOutcome) {
+    call.edge.directory().service(&call.service).pool.record_outcome(server, end, clock::now());
 }
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -159,12 +159,12 @@
         Ok(Ok(read)) => read,
         Ok(Err(err)) => {
             tracing::info!(id = call.id(), server = id, %err, "edge: no memory asked for");
-            prefill::note_end(call, &id, pool::End::Bad(Reason::NoServer));
+            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
             return Held::Unreachable;
         }
         Err(_) => {
             tracing::info!(id = call.id(), server = id, "edge: memory asked for in vain");
-            prefill::note_end(call, &id, pool::End::Bad(Reason::NoServer));
+            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
             return Held::Unreachable;
         }
     };
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -263,7 +263,9 @@
 
     fn judge(&mut self, server: &str, event: &flow::Event) {
         match event {
-            flow::Event::Ended => prefill::note_end(&self.call, server, pool::End::Good),
+            flow::Event::Ended => {
+                prefill::note_end(&self.call, server, pool::ServerOutcome::Success)
+            }
             flow::Event::Failed { refusal, .. } => {
                 prefill::note_end(&self.call, server, directory::bad_end(refusal.reason));
             }
@@ -286,7 +288,7 @@
         }
         if let Some(cache) = &mut self.cache {
             cache.set_taken();
-            prefill::note_end(&self.call, &cache.server, pool::End::Good);
+            prefill::note_end(&self.call, &cache.server, pool::ServerOutcome::Success);
         }
         if !answered.response.status().is_success() {
             return self.pass_failure(server, answered).await;
@@ -302,7 +304,7 @@
     ) -> flow::Event {
         exchange::read_whole(&self.call.edge.links, answered).await;
         if let Some(cache) = &self.cache {
-            let lapsed = pool::End::Bad(Reason::LostContact);
+            let lapsed = pool::ServerOutcome::Failure(Reason::LostContact);
             prefill::note_end(&self.call, &cache.server, lapsed);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -138,7 +138,7 @@
                 &self.ticket,
                 &server,
                 list::Role::Decode,
-                pool::End::Bad(Reason::NoServer),
+                pool::ServerOutcome::Failure(Reason::NoServer),
             );
             return self.unreachable(Some(server), keyed);
         };
@@ -192,7 +192,8 @@
             return self.unreachable(None, false);
         };
         let event = self.prefill_at(&server).await;
-        let end = reason_of(&event).map_or(pool::End::Open, pool::End::Bad);
+        let end =
+            reason_of(&event).map_or(pool::ServerOutcome::Unknown, pool::ServerOutcome::Failure);
         placing::note_end(&self.ticket, &server, list::Role::Prefill, end);
         event
     }
@@ -299,7 +300,7 @@
     async fn take_token(&mut self, token: &str) -> bool {
         let now = clock::now();
         self.flow.handle(&flow::Event::Streamed);
-        self.judge_source(pool::End::Good);
+        self.judge_source(pool::ServerOutcome::Success);
         self.first_at.get_or_insert(now);
         self.last_at = Some(now);
         self.sent += 1;
@@ -310,7 +311,7 @@
 
     // A result that was evicted or never came speaks against the server that prefilled it, one
     // of which a token came speaks for it.
-    fn judge_source(&mut self, end: pool::End) {
+    fn judge_source(&mut self, end: pool::ServerOutcome) {
         let Some(server) = self.source.take() else { return };
         placing::judge(&self.ticket, &server, list::Role::Prefill, end);
     }
@@ -318,13 +319,13 @@
     // Dropping the run cancels it at the agent.
     fn release(&mut self, reason: Option<Reason>) {
         if reason == Some(Reason::Evicted) {
-            self.judge_source(pool::End::Bad(Reason::Evicted));
+            self.judge_source(pool::ServerOutcome::Failure(Reason::Evicted));
         }
         if let Some(placed) = self.decode.take() {
             let end = match reason {
-                Some(reason) => pool::End::Bad(reason),
-                None if self.first_at.is_some() => pool::End::Good,
-                None => pool::End::Open,
+                Some(reason) => pool::ServerOutcome::Failure(reason),
+                None if self.first_at.is_some() => pool::ServerOutcome::Success,
+                None => pool::ServerOutcome::Unknown,
             };
             placing::note_end(&self.ticket, &placed.server, list::Role::Decode, end);
         }
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -33,10 +33,10 @@
         None => time::Duration::ZERO,
     };
     let by_work = prompt.is_some();
-    let wish = pool::Wish { tried, affinity, random: rand::random(), by_work };
+    let wish = pool::Criteria { tried, affinity, random: rand::random(), by_work };
     let pool = view.pool(service, role)?;
     let server = pool.pick(wish, clock::now())?;
-    pool.sent(&server, work);
+    pool.record_sent(&server, work);
     Some(server)
 }
 
@@ -46,17 +46,27 @@
 }
 
 /// Notes the end of an attempt at `server`.
-pub(crate) fn note_end(ticket: &admit::Ticket, server: &str, role: list::Role, end: pool::End) {
+pub(crate) fn note_end(
+    ticket: &admit::Ticket,
+    server: &str,
+    role: list::Role,
+    end: pool::ServerOutcome,
+) {
     let mut view = ticket.entry.directory.view();
     if let Some(pool) = view.pool(&ticket.service.name, role) {
-        pool.ended(server, end, clock::now());
+        pool.record_end(server, end, clock::now());
     }
 }
 
 /// Notes what became known later of the work of `server`.
-pub(crate) fn judge(ticket: &admit::Ticket, server: &str, role: list::Role, end: pool::End) {
+pub(crate) fn judge(
+    ticket: &admit::Ticket,
+    server: &str,
+    role: list::Role,
+    end: pool::ServerOutcome,
+) {
     let mut view = ticket.entry.directory.view();
     if let Some(pool) = view.pool(&ticket.service.name, role) {
-        pool.judge(server, end, clock::now());
+        pool.record_outcome(server, end, clock::now());
     }
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -90,9 +90,9 @@
         };
         let event = self.attempt_at(&server, unreachable).await;
         let end = match &event {
-            flow::Event::Failed { refusal, .. } => pool::End::Bad(refusal.reason),
-            flow::Event::Ended => pool::End::Good,
-            _ => pool::End::Open,
+            flow::Event::Failed { refusal, .. } => pool::ServerOutcome::Failure(refusal.reason),
+            flow::Event::Ended => pool::ServerOutcome::Success,
+            _ => pool::ServerOutcome::Unknown,
         };
         placing::note_end(&self.ticket, &server, list::Role::Plain, end);
         event
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -145,7 +145,7 @@
         let followed: usize = self.pools.values().map(|pool| pool.names().count()).sum();
         let suspect_after = subset::period(followed) * MISSED_REPORTS + REPORT_SLACK;
         for pool in self.pools.values_mut() {
-            pool.set_tuning(pool::Tuning { suspect_after: Some(suspect_after), growing: true });
+            pool.set_tuning(pool::Tuning { suspect_after: Some(suspect_after), backoff: true });
         }
     }
 
@@ -197,7 +197,7 @@
     /// Notes the load of a server in whatever pool has it.
     pub(crate) fn hear(&mut self, server: &str, load: load::Load, now: time::Instant) {
         for pool in self.pools.values_mut() {
-            pool.hear(server, load, now);
+            pool.update_load(server, load, now);
         }
     }
 
--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -48,16 +48,16 @@
         let name = format!("server-{number}");
         pool.add(&name, if number % 3 == 0 { "zone-2" } else { "zone-1" });
         let load = load::Load { slots: 20, held: number, ..load::Load::default() };
-        pool.hear(&name, load, now);
+        pool.update_load(&name, load, now);
     }
     meter.time("choose a server of a subset of 12", 20_000, |number| {
         let random = u64::from(number) * 0x9e37_79b9_7f4a_7c15;
-        pool.pick(pool::Wish { tried: &[], affinity: None, random, by_work: false }, now)
+        pool.pick(pool::Criteria { tried: &[], affinity: None, random, by_work: false }, now)
     });
     meter.time("choose a server of a subset of 12, by prefix", 5_000, |number| {
         let affinity = Some(u128::from(number));
         pool.pick(
-            pool::Wish { tried: &[], affinity, random: u64::from(number), by_work: false },
+            pool::Criteria { tried: &[], affinity, random: u64::from(number), by_work: false },
             now,
         )
     });
