--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -5,7 +5,7 @@
 use crate::{fleet, ids};
 
 /// What a peer said is void after this time without news of it.
-pub const PEER_SILENCE: time::Duration = time::Duration::from_millis(1_500);
+pub const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 /// Part of an expected answer that is charged: runs are at different points of their growth.
 const OUTPUT_SHARE: f64 = 0.6;
 /// Charge for the tokens of a run that has outgrown its estimate: it goes on for a while.
@@ -65,7 +65,7 @@
 
 /// What an entry believes of an engine's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct Estimate {
     /// Committed share of the memory, in thousandths.
     pub fill: u32,
     /// Age of the oldest news from a peer that is in it.
@@ -74,7 +74,7 @@
 
 impl Need {
     /// Memory that the request takes at its end, in tokens.
-    pub fn whole(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         self.prompt + self.output
     }
 
@@ -100,7 +100,7 @@
 
 impl Engine {
     pub(crate) fn peers(&self, now: time::Instant) -> impl Iterator<Item = &Commitment> {
-        let is_fresh = move |told: &&Told| now <= told.at + PEER_SILENCE;
+        let is_fresh = move |told: &&Told| now <= told.at + PEER_TIMEOUT;
         self.peers.values().filter(is_fresh).map(|told| &told.commitment)
     }
 
@@ -113,11 +113,11 @@
         self.runs.len() as u32 + self.peers(now).map(|peer| peer.runs).sum::<u32>()
     }
 
-    pub(crate) fn belief(&self, now: time::Instant) -> Belief {
+    pub(crate) fn estimate(&self, now: time::Instant) -> Estimate {
         let fill = u64::from(self.tokens(now)) * 1000 / u64::from(self.room().max(1));
         let ages = self.peers.values().map(|told| now.saturating_duration_since(told.at));
-        let age = ages.filter(|age| *age <= PEER_SILENCE).max().unwrap_or_default();
-        Belief { fill: fill as u32, age }
+        let age = ages.filter(|age| *age <= PEER_TIMEOUT).max().unwrap_or_default();
+        Estimate { fill: fill as u32, age }
     }
 
     pub(crate) fn is_changing(&self, now: time::Instant) -> bool {
--- a/crates/core/src/engines.rs
+++ b/crates/core/src/engines.rs
@@ -12,7 +12,7 @@
 pub struct Engines {
     engines: collections::BTreeMap<ids::ServerName, engine::Engine>,
     // Requests that wait for decode memory, in the order of their arrival.
-    queue: collections::BTreeSet<Place>,
+    queue: collections::BTreeSet<Position>,
     // When memory was last given to requests of this entry.
     grants: collections::VecDeque<time::Instant>,
     // Mean charge of the last requests, in tokens.
@@ -23,11 +23,11 @@
     peer_usage: collections::BTreeMap<String, stages::Usage>,
 }
 
-/// Place of a request in the queue for decode memory.
+/// Position of a request in the queue for decode memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// Whether it can no longer be in time, and comes after all that can.
-    pub late: bool,
+    pub overdue: bool,
     /// When the request arrived.
     pub arrived: time::Instant,
     /// Its run.
@@ -68,7 +68,7 @@
 }
 
 /// Time that an idle engine needs to read a prompt.
-pub fn prefill_work(tokens: u32) -> time::Duration {
+pub fn prefill_time(tokens: u32) -> time::Duration {
     PREFILL_BASE + time::Duration::from_millis(u64::from(tokens) / TOKENS_PER_MS)
 }
 
@@ -125,12 +125,12 @@
     }
 
     /// Puts a request into the queue for decode memory; one that is there keeps its place.
-    pub fn join(&mut self, place: Place) {
+    pub fn enqueue(&mut self, place: Position) {
         self.queue.insert(place);
     }
 
     /// Takes a request out of the queue.
-    pub fn leave(&mut self, place: Place) {
+    pub fn dequeue(&mut self, place: Position) {
         self.queue.remove(&place);
     }
 
@@ -149,7 +149,7 @@
     /// still fit, since entries do not see each other's queues.
     pub fn reserve(
         &mut self,
-        place: Place,
+        place: Position,
         need: engine::Need,
         allowed: impl Fn(&str) -> bool,
         draw: u64,
@@ -161,7 +161,7 @@
         let charge = need.charge();
         let decode = self.of_stage(fleet::Stage::Decode, now);
         // A late request leaves room for one that can be in time.
-        let left = self.typical.filter(|_| place.late).map_or(0, |tokens| tokens as u32);
+        let left = self.typical.filter(|_| place.overdue).map_or(0, |tokens| tokens as u32);
         let fitting = decode.filter(|(id, engine)| allowed(id) && engine.fits(charge + left, now));
         let step =
             |engine: &engine::Engine| engine.tokens(now) / (engine.memory / MEMORY_STEPS).max(1);
@@ -181,7 +181,7 @@
     }
 
     /// Notes how many tokens a run has generated.
-    pub fn progress(&mut self, id: &str, run: ids::RunId, generated: u32) {
+    pub fn record_progress(&mut self, id: &str, run: ids::RunId, generated: u32) {
         let engine = self.engines.get_mut(id);
         if let Some(run) = engine.and_then(|engine| engine.runs.get_mut(&run)) {
             run.generated = generated;
@@ -224,7 +224,7 @@
     }
 
     /// Takes what a peer's requests have taken since its start.
-    pub fn hear_usage(&mut self, peer: &str, usage: stages::Usage) {
+    pub fn update_peer_usage(&mut self, peer: &str, usage: stages::Usage) {
         self.peer_usage.insert(peer.to_string(), usage);
     }
 
@@ -263,34 +263,34 @@
         let sources = self.of_stage(fleet::Stage::Prefill, now).filter(|(id, _)| allowed(id));
         let step = |engine: &engine::Engine| wait(engine).as_millis() / PREFILL_STEP.as_millis();
         let (id, engine) = sources.min_by_key(|(id, engine)| (step(engine), shuffle(id, draw)))?;
-        Some((id.clone(), engine.prefill(now) + prefill_work(tokens)))
+        Some((id.clone(), engine.prefill(now) + prefill_time(tokens)))
     }
 
     /// Notes a prompt sent to an engine.
-    pub fn prefill_sent(&mut self, id: &str, tokens: u32, now: time::Instant) {
+    pub fn record_prefill(&mut self, id: &str, tokens: u32, now: time::Instant) {
         self.usage.prompts += 1;
-        self.usage.prefill += prefill_work(tokens);
+        self.usage.prefill += prefill_time(tokens);
         if let Some(engine) = self.engines.get_mut(id) {
             let from = engine.prefill_until.map_or(now, |until| until.max(now));
-            engine.prefill_until = Some(from + prefill_work(tokens));
+            engine.prefill_until = Some(from + prefill_time(tokens));
         }
     }
 
     /// Time in which a decode engine reads a prompt itself, between the tokens of its runs.
-    pub fn own_prefill(tokens: u32) -> time::Duration {
+    pub fn decode_prefill_time(tokens: u32) -> time::Duration {
         PREFILL_BASE + time::Duration::from_millis(u64::from(tokens) * OWN_FACTOR / TOKENS_PER_MS)
     }
 
     /// Shortest expected time until a prompt of `tokens` has been read.
-    pub fn prefill_wait(&self, tokens: u32, now: time::Instant) -> Option<time::Duration> {
+    pub fn shortest_prefill(&self, tokens: u32, now: time::Instant) -> Option<time::Duration> {
         let sources = self.of_stage(fleet::Stage::Prefill, now);
         let wait = sources.map(|(_, engine)| engine.prefill(now)).min();
-        wait.map(|wait| wait + prefill_work(tokens))
+        wait.map(|wait| wait + prefill_time(tokens))
     }
 
     /// Learns that an answer of `tokens` took `took` from its first token to its last, its longest
     /// pause left out.
-    pub fn learn_answer(&mut self, tokens: u64, took: time::Duration) {
+    pub fn record_answer(&mut self, tokens: u64, took: time::Duration) {
         if tokens == 0 {
             return;
         }
@@ -311,7 +311,7 @@
     }
 
     /// What this entry has given to each engine, for its peers.
-    pub fn own(
+    pub fn commitments(
         &self,
         now: time::Instant,
     ) -> collections::BTreeMap<ids::ServerName, engine::Commitment> {
@@ -327,7 +327,7 @@
     }
 
     /// Takes what a peer has given to each engine.
-    pub fn hear(
+    pub fn update_peer(
         &mut self,
         peer: &str,
         told: &collections::BTreeMap<ids::ServerName, engine::Commitment>,
@@ -347,8 +347,8 @@
     }
 
     /// What is believed of an engine's memory.
-    pub fn belief(&self, id: &str, now: time::Instant) -> Option<engine::Belief> {
-        self.engines.get(id).map(|engine| engine.belief(now))
+    pub fn estimate(&self, id: &str, now: time::Instant) -> Option<engine::Estimate> {
+        self.engines.get(id).map(|engine| engine.estimate(now))
     }
 
     /// Share of the decode engines' memory that is committed, in thousandths.
--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -29,12 +29,12 @@
     }
 }
 
-fn place(arrived: time::Instant, run: ids::RunId) -> engines::Place {
-    engines::Place { late: false, arrived, run }
+fn place(arrived: time::Instant, run: ids::RunId) -> engines::Position {
+    engines::Position { overdue: false, arrived, run }
 }
 
-fn late(arrived: time::Instant, run: ids::RunId) -> engines::Place {
-    engines::Place { late: true, arrived, run }
+fn late(arrived: time::Instant, run: ids::RunId) -> engines::Position {
+    engines::Position { overdue: true, arrived, run }
 }
 
 fn any(_: &str) -> bool {
@@ -83,8 +83,8 @@
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     let (first, second) = (place(now, 1), place(now + MILLI, 2));
-    engines.join(second);
-    engines.join(first);
+    engines.enqueue(second);
+    engines.enqueue(first);
     assert_eq!(engines.reserve(second, NEED, any, 0, now), None, "the first one waits");
     assert!(engines.reserve(first, NEED, any, 0, now).is_some());
     assert!(engines.reserve(second, NEED, any, 0, now).is_some());
@@ -109,9 +109,9 @@
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     let told = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
-    engines.hear("peer", &[("d-0".to_string(), told)].into(), now);
+    engines.update_peer("peer", &[("d-0".to_string(), told)].into(), now);
     assert_eq!(engines.reserve(place(now, 1), NEED, any, 0, now), None);
-    let later = now + engine::PEER_SILENCE + MILLI;
+    let later = now + engine::PEER_TIMEOUT + MILLI;
     assert!(engines.reserve(place(now, 1), NEED, any, 0, later).is_some(), "the peer is silent");
 }
 
@@ -120,8 +120,8 @@
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     let told = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
-    engines.hear("peer", &[("d-0".to_string(), told)].into(), now);
-    engines.hear("peer", &collections::BTreeMap::new(), now);
+    engines.update_peer("peer", &[("d-0".to_string(), told)].into(), now);
+    engines.update_peer("peer", &collections::BTreeMap::new(), now);
     assert!(engines.reserve(place(now, 1), NEED, any, 0, now).is_some());
 }
 
@@ -152,7 +152,7 @@
 fn shortest_backlog() {
     let now = time::Instant::now();
     let mut engines = engines(2, 1);
-    engines.prefill_sent("p-0", 6_600, now);
+    engines.record_prefill("p-0", 6_600, now);
     for draw in 0..20 {
         let (id, wait) = engines.pick_prefill(3_300, "hall-a", any, draw, now).unwrap();
         assert_eq!(id, "p-1");
@@ -165,12 +165,18 @@
     // A burst fills the prefill engines; a decode engine reads a prompt sooner by itself.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
-    assert!(engines.prefill_wait(3_300, now).unwrap() < engines::Engines::own_prefill(3_300));
+    assert!(
+        engines.shortest_prefill(3_300, now).unwrap()
+            < engines::Engines::decode_prefill_time(3_300)
+    );
     for _ in 0..5 {
-        engines.prefill_sent("p-0", 3_300, now);
+        engines.record_prefill("p-0", 3_300, now);
     }
-    assert!(engines.prefill_wait(3_300, now).unwrap() > engines::Engines::own_prefill(3_300));
-    assert_eq!(engines::Engines::default().prefill_wait(3_300, now), None);
+    assert!(
+        engines.shortest_prefill(3_300, now).unwrap()
+            > engines::Engines::decode_prefill_time(3_300)
+    );
+    assert_eq!(engines::Engines::default().shortest_prefill(3_300, now), None);
 }
 
 #[test]
@@ -182,7 +188,7 @@
         // Of those that stay long, some wait for their prompt to be read, in vain.
         let stay = if run < 2 { 10 * MILLI } else { 3_000 * MILLI };
         if run >= 4 {
-            engines.progress(&id, run, 1);
+            engines.record_progress(&id, run, 1);
         }
         engines.release(&id, run, now + stay);
     }
@@ -194,8 +200,8 @@
     // A caller that was refused and came back is late anyway; one that can be in time goes first.
     let now = time::Instant::now();
     let mut engines = engines(1, 2);
-    engines.join(late(now, 1));
-    engines.join(place(now + MILLI, 2));
+    engines.enqueue(late(now, 1));
+    engines.enqueue(place(now + MILLI, 2));
     assert_eq!(engines.reserve(late(now, 1), NEED, any, 0, now), None);
     assert!(engines.reserve(place(now + MILLI, 2), NEED, any, 0, now).is_some());
     assert!(engines.reserve(late(now, 1), NEED, any, 0, now).is_some());
@@ -219,11 +225,11 @@
     // in its midst.
     let mut engines = engines(1, 1);
     assert_eq!(engines.answer_time(700), time::Duration::ZERO, "nothing is known yet");
-    engines.learn_answer(1_000, 5_000 * MILLI);
+    engines.record_answer(1_000, 5_000 * MILLI);
     assert_eq!(engines.answer_time(700), 3_500 * MILLI);
-    engines.learn_answer(0, MILLI);
+    engines.record_answer(0, MILLI);
     for _ in 0..200 {
-        engines.learn_answer(500, 5_000 * MILLI);
+        engines.record_answer(500, 5_000 * MILLI);
     }
     let slower = engines.answer_time(700);
     assert!(slower > 6_990 * MILLI && slower < 7_010 * MILLI, "{slower:?}");
@@ -239,7 +245,7 @@
         assert!(engines.reserve(place(now, run), NEED, any, 0, now).is_some());
     }
     for run in 10..20 {
-        engines.join(place(now + MILLI, run));
+        engines.enqueue(place(now + MILLI, run));
     }
     assert_eq!(engines.expected_wait(now), 4_000 * MILLI, "five in two seconds, ten wait");
 }
@@ -252,11 +258,11 @@
     for run in 0..8 {
         assert!(engines.reserve(place(now, run), NEED, any, 0, now).is_some());
     }
-    engines.progress("d-0", 0, 400);
+    engines.record_progress("d-0", 0, 400);
     let fill = engines.fill(now);
     assert_eq!(fill, 8 * NEED.charge() * 1_000 / 34_200, "within the estimate");
     for run in 0..4 {
-        engines.progress("d-0", run, 2_000);
+        engines.record_progress("d-0", run, 2_000);
     }
     assert!(engines.fill(now) > fill + 150, "four runs have outgrown theirs");
     assert_eq!(engines.reserve(place(now, 9), NEED, any, 0, now), None);
@@ -267,12 +273,12 @@
     let mut engines = engines(0, 1);
     let now = time::Instant::now();
     let told = engine::Commitment { tokens: 17_100, ..engine::Commitment::default() };
-    engines.hear("old", &[("d-0".to_string(), told)].into(), now);
-    engines.hear("new", &[("d-0".to_string(), told)].into(), now + 400 * MILLI);
+    engines.update_peer("old", &[("d-0".to_string(), told)].into(), now);
+    engines.update_peer("new", &[("d-0".to_string(), told)].into(), now + 400 * MILLI);
     let later = now + 500 * MILLI;
-    let belief = engines.belief("d-0", later).unwrap();
-    assert_eq!(belief, engine::Belief { fill: 1_000, age: 500 * MILLI });
-    let belief = engines.belief("d-0", now + 1_600 * MILLI).unwrap();
-    assert_eq!(belief, engine::Belief { fill: 500, age: 1_200 * MILLI }, "the old one is silent");
-    assert_eq!(engines.belief("d-1", now), None);
+    let belief = engines.estimate("d-0", later).unwrap();
+    assert_eq!(belief, engine::Estimate { fill: 1_000, age: 500 * MILLI });
+    let belief = engines.estimate("d-0", now + 1_600 * MILLI).unwrap();
+    assert_eq!(belief, engine::Estimate { fill: 500, age: 1_200 * MILLI }, "the old one is silent");
+    assert_eq!(engines.estimate("d-1", now), None);
 }
--- a/crates/core/tests/lost.rs
+++ b/crates/core/tests/lost.rs
@@ -76,7 +76,7 @@
             now += step.pause * MILLI;
             if step.reserves {
                 let place =
-                    engines::Place { late: false, arrived: now, run: ids::RunId::from(seq) };
+                    engines::Position { overdue: false, arrived: now, run: ids::RunId::from(seq) };
                 let id = peer.reserve(place, NEED, |_| true, seq, now);
                 runs.extend(id.map(|id| (id, place.run)));
             } else if let Some((id, run)) = runs.pop() {
@@ -84,19 +84,19 @@
             }
             if !step.is_lost {
                 let copies = if step.is_doubled { 2 } else { 1 };
-                let datagram = (step.overtaken, seq, peer.own(now));
+                let datagram = (step.overtaken, seq, peer.commitments(now));
                 way.extend(std::iter::repeat_n(datagram, copies));
             }
             let (here, later) = way.into_iter().partition::<Vec<_>, _>(|(wait, ..)| *wait == 0);
             way = later.into_iter().map(|(wait, seq, given)| (wait - 1, seq, given)).collect();
             for (_, seq, given) in here {
                 if members.record_heartbeat(ip, 1, seq, now) {
-                    own.hear(PEER, &given, now);
+                    own.update_peer(PEER, &given, now);
                     prop_assert!(newest.as_ref().is_none_or(|(old, ..)| *old < seq));
                     newest = Some((seq, given, now));
                 }
             }
-            let is_fresh = |at: time::Instant| now <= at + engine::PEER_SILENCE;
+            let is_fresh = |at: time::Instant| now <= at + engine::PEER_TIMEOUT;
             let told = newest.as_ref().filter(|(.., at)| is_fresh(*at));
             let expected = told.map_or(0, |(_, given, _)| tokens(given));
             let room = 2 * (40_000.0 * 0.95) as u64;
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -80,7 +80,7 @@
     let mut directory = edge.directory();
     let config = directory.known().config;
     let servers = directory.rows.newest;
-    let own = directory.services().flat_map(|service| service.engines.own(now));
+    let own = directory.services().flat_map(|service| service.engines.commitments(now));
     let given = own.map(|(id, commitment)| share::Given::new(&id, &commitment)).collect();
     let usage = directory
         .named_services()
@@ -130,13 +130,13 @@
     let told = share.commitments();
     let mut directory = edge.directory();
     for service in directory.services() {
-        service.engines.hear(&share.name, &told, now);
+        service.engines.update_peer(&share.name, &told, now);
         for id in &share.changing {
             service.engines.set_changing(id, now + CHANGING_TIME);
         }
     }
     for (name, usage) in &share.usage {
-        directory.service(name).engines.hear_usage(&share.name, *usage);
+        directory.service(name).engines.update_peer_usage(&share.name, *usage);
     }
     let own = directory.known();
     drop(directory);
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -190,7 +190,7 @@
     let sound = service.pool.candidates(tried, is_prefill, now);
     let allowed = |id: &str| sound.iter().any(|other| *other == id);
     let (id, expected) = engines.pick_prefill(tokens, zone, allowed, rand::random(), now)?;
-    service.engines.prefill_sent(&id, tokens, now);
+    service.engines.record_prefill(&id, tokens, now);
     call.edge.given.notify_one();
     Some((directory.target(&id)?, expected))
 }
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -29,7 +29,7 @@
         let tokens = directory.event_tokens(&self.service);
         let generated = u32::try_from(events).unwrap_or(u32::MAX).saturating_mul(tokens);
         let engines = &mut directory.service(&self.service).engines;
-        engines.progress(&self.target.id, self.run, generated);
+        engines.record_progress(&self.target.id, self.run, generated);
     }
 
     /// The memory that the engine set aside, to be used by one send.
@@ -112,7 +112,8 @@
     wait: Wait,
 ) -> Asked {
     let Wait { late, until: wait_by } = wait;
-    let place = engines::Place { late, arrived: call.arrived, run: call.edge.next_run() };
+    let place =
+        engines::Position { overdue: late, arrived: call.arrived, run: call.edge.next_run() };
     let _seat = Seat { call, place };
     if is_hopeless(call, wait_by) {
         return Asked::Refused(no_room());
@@ -196,7 +197,7 @@
 // Logs what was believed of an engine that was asked for memory.
 fn note_belief(call: &call::Call, server: &str, need: engine::Need, message: &str) {
     let mut directory = call.edge.directory();
-    let belief = directory.service(&call.service).engines.belief(server, clock::now());
+    let belief = directory.service(&call.service).engines.estimate(server, clock::now());
     drop(directory);
     tracing::info!(
         id = call.id(),
@@ -231,19 +232,19 @@
 
 struct Seat<'a> {
     call: &'a call::Call,
-    place: engines::Place,
+    place: engines::Position,
 }
 
 impl Drop for Seat<'_> {
     fn drop(&mut self) {
         let mut directory = self.call.edge.directory();
-        directory.service(&self.call.service).engines.leave(self.place);
+        directory.service(&self.call.service).engines.dequeue(self.place);
     }
 }
 
 fn take(
     call: &call::Call,
-    place: engines::Place,
+    place: engines::Position,
     need: engine::Need,
     tried: &[ids::ServerName],
 ) -> Option<Room> {
@@ -255,7 +256,7 @@
     let sound: Vec<_> = service.pool.candidates(tried, is_decode, now);
     let allowed = |id: &str| sound.iter().any(|other| *other == id);
     let Some(id) = engines.reserve(place, need, allowed, rand::random(), now) else {
-        engines.join(place);
+        engines.enqueue(place);
         return None;
     };
     let target = directory.target(&id)?;
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -113,9 +113,9 @@
         let late = self.call.returned;
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let own = engines::Engines::own_prefill(self.need.prompt);
+        let own = engines::Engines::decode_prefill_time(self.need.prompt);
         let prefill =
-            engines.prefill_wait(self.need.prompt, now).map_or(own, |apart| apart.min(own));
+            engines.shortest_prefill(self.need.prompt, now).map_or(own, |apart| apart.min(own));
         let target = self.call.route.target;
         let patience = if late { target.max(LATE_WAIT) } else { target };
         let due = self.call.arrived + patience;
@@ -181,8 +181,8 @@
     fn is_own_faster(&self) -> bool {
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let apart = engines.prefill_wait(self.need.prompt, clock::now());
-        apart.is_none_or(|apart| apart > engines::Engines::own_prefill(self.need.prompt))
+        let apart = engines.shortest_prefill(self.need.prompt, clock::now());
+        apart.is_none_or(|apart| apart > engines::Engines::decode_prefill_time(self.need.prompt))
     }
 
     fn decode_zone(&self) -> ids::ZoneName {
@@ -459,7 +459,7 @@
             // A pause says more of a fault than of the engines' pace.
             let took = (last - first).saturating_sub(self.longest_pause);
             let mut directory = call.edge.directory();
-            directory.service(&call.service).engines.learn_answer(tokens, took);
+            directory.service(&call.service).engines.record_answer(tokens, took);
         }
         call.account().add(|totals| {
             totals.count(Outcome::Answered, None);
