--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Engines under load: memory before prefill, herds of entries, silent peers.
+//! Commitments to engines under load: limits, queue order, peer reports and estimates.
 
 use std::{collections, time};
 
@@ -29,11 +29,11 @@
     }
 }
 
-fn place(arrived: time::Instant, run: ids::RunId) -> engines::Position {
+fn position(arrived: time::Instant, run: ids::RunId) -> engines::Position {
     engines::Position { overdue: false, arrived, run }
 }
 
-fn late(arrived: time::Instant, run: ids::RunId) -> engines::Position {
+fn overdue(arrived: time::Instant, run: ids::RunId) -> engines::Position {
     engines::Position { overdue: true, arrived, run }
 }
 
@@ -46,29 +46,29 @@
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     let granted =
-        (0..30).filter(|run| engines.reserve(place(now, *run), NEED, any, 0, now).is_some());
-    // 34,200 tokens are given away, and 3,600 charged for each.
+        (0..30).filter(|run| engines.reserve(position(now, *run), NEED, any, 0, now).is_some());
+    // 34,200 tokens may be committed, and each request is charged 3,600.
     assert_eq!(granted.count(), 9);
 }
 
 #[test]
-fn slots_bound_too() {
+fn slots_limit() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     let small = engine::Need { prompt: 10, output: 10 };
     let granted =
-        (0..30).filter(|run| engines.reserve(place(now, *run), small, any, 0, now).is_some());
+        (0..30).filter(|run| engines.reserve(position(now, *run), small, any, 0, now).is_some());
     assert_eq!(granted.count(), 16);
 }
 
 #[test]
-fn all_come_back() {
+fn memory_released() {
     let now = time::Instant::now();
     let mut engines = engines(1, 4);
     let mut held = Vec::new();
     for run in 0..100 {
         held.extend(
-            engines.reserve(place(now, run), NEED, any, run as u64, now).map(|id| (id, run)),
+            engines.reserve(position(now, run), NEED, any, run as u64, now).map(|id| (id, run)),
         );
     }
     assert!(engines.fill(now) > 900);
@@ -79,63 +79,67 @@
 }
 
 #[test]
-fn first_come_first() {
+fn arrival_order() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
-    let (first, second) = (place(now, 1), place(now + MILLI, 2));
+    let (first, second) = (position(now, 1), position(now + MILLI, 2));
     engines.enqueue(second);
     engines.enqueue(first);
-    assert_eq!(engines.reserve(second, NEED, any, 0, now), None, "the first one waits");
+    assert_eq!(engines.reserve(second, NEED, any, 0, now), None, "an earlier request is queued");
     assert!(engines.reserve(first, NEED, any, 0, now).is_some());
     assert!(engines.reserve(second, NEED, any, 0, now).is_some());
 }
 
 #[test]
-fn herd_spreads() {
-    // Twenty-four entries that see the same idle engines do not choose the same one.
+fn entries_spread() {
+    // Guards against a thundering herd: 24 entries that see the same idle engines must not all
+    // choose the same one.
     let now = time::Instant::now();
     let mut chosen = collections::BTreeMap::new();
     for entry in 0..24u64 {
         let mut engines = engines(1, 12);
         let draw = entry.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let id = engines.reserve(place(now, 1), NEED, any, draw, now).unwrap();
+        let id = engines.reserve(position(now, 1), NEED, any, draw, now).unwrap();
         *chosen.entry(id).or_insert(0) += 1;
     }
     assert!(chosen.len() >= 8 && chosen.values().all(|count| *count <= 6), "{chosen:?}");
 }
 
 #[test]
-fn peers_count() {
+fn peer_commitments() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
-    let told = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
-    engines.update_peer("peer", &[("d-0".to_string(), told)].into(), now);
-    assert_eq!(engines.reserve(place(now, 1), NEED, any, 0, now), None);
+    let commitment = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
+    engines.update_peer("peer", &[("d-0".to_string(), commitment)].into(), now);
+    assert_eq!(engines.reserve(position(now, 1), NEED, any, 0, now), None);
     let later = now + engine::PEER_TIMEOUT + MILLI;
-    assert!(engines.reserve(place(now, 1), NEED, any, 0, later).is_some(), "the peer is silent");
+    assert!(
+        engines.reserve(position(now, 1), NEED, any, 0, later).is_some(),
+        "the peer's report has expired"
+    );
 }
 
 #[test]
 fn peer_released() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
-    let told = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
-    engines.update_peer("peer", &[("d-0".to_string(), told)].into(), now);
+    let commitment = engine::Commitment { tokens: 33_000, runs: 9, prefill: time::Duration::ZERO };
+    engines.update_peer("peer", &[("d-0".to_string(), commitment)].into(), now);
     engines.update_peer("peer", &collections::BTreeMap::new(), now);
-    assert!(engines.reserve(place(now, 1), NEED, any, 0, now).is_some());
+    assert!(engines.reserve(position(now, 1), NEED, any, 0, now).is_some());
 }
 
 #[test]
-fn refused_rests() {
+fn full_engine_skipped() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     engines.set_full("d-0", now);
-    assert_eq!(engines.reserve(place(now, 1), NEED, any, 0, now), None);
-    assert!(engines.reserve(place(now, 1), NEED, any, 0, now + 200 * MILLI).is_some());
+    assert_eq!(engines.reserve(position(now, 1), NEED, any, 0, now), None);
+    assert!(engines.reserve(position(now, 1), NEED, any, 0, now + 200 * MILLI).is_some());
 }
 
 #[test]
-fn changing_rests() {
+fn changing_engine_skipped() {
     let now = time::Instant::now();
     let mut engines = engines(2, 1);
     engines.set_changing("p-0", now + 1_000 * MILLI);
@@ -161,8 +165,8 @@
 }
 
 #[test]
-fn own_when_behind() {
-    // A burst fills the prefill engines; a decode engine reads a prompt sooner by itself.
+fn decode_prefill_faster() {
+    // After a burst of prompts a decode engine reads a prompt sooner itself.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     assert!(
@@ -180,12 +184,12 @@
 }
 
 #[test]
-fn refusals_are_no_runs() {
+fn unstarted_not_counted() {
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     for run in 0..9 {
-        let id = engines.reserve(place(now, run), NEED, any, 0, now).unwrap();
-        // Of those that stay long, some wait for their prompt to be read, in vain.
+        let id = engines.reserve(position(now, run), NEED, any, 0, now).unwrap();
+        // Runs 0 to 3 generate no token; 2 and 3 hold memory for long while they wait for a prefill.
         let stay = if run < 2 { 10 * MILLI } else { 3_000 * MILLI };
         if run >= 4 {
             engines.record_progress(&id, run, 1);
@@ -196,35 +200,40 @@
 }
 
 #[test]
-fn late_goes_last() {
-    // A caller that was refused and came back is late anyway; one that can be in time goes first.
+fn overdue_last() {
+    // A refused request that is retried misses its target anyway; one that can still meet its
+    // target is served first.
     let now = time::Instant::now();
     let mut engines = engines(1, 2);
-    engines.enqueue(late(now, 1));
-    engines.enqueue(place(now + MILLI, 2));
-    assert_eq!(engines.reserve(late(now, 1), NEED, any, 0, now), None);
-    assert!(engines.reserve(place(now + MILLI, 2), NEED, any, 0, now).is_some());
-    assert!(engines.reserve(late(now, 1), NEED, any, 0, now).is_some());
+    engines.enqueue(overdue(now, 1));
+    engines.enqueue(position(now + MILLI, 2));
+    assert_eq!(engines.reserve(overdue(now, 1), NEED, any, 0, now), None);
+    assert!(engines.reserve(position(now + MILLI, 2), NEED, any, 0, now).is_some());
+    assert!(engines.reserve(overdue(now, 1), NEED, any, 0, now).is_some());
 }
 
 #[test]
-fn late_leaves_room() {
-    // Entries do not see each other's queues, so a late request leaves room for another one.
+fn overdue_leaves_memory() {
+    // Entries do not see each other's queues, so an overdue request leaves memory for another one.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     for run in 0..8 {
-        assert!(engines.reserve(place(now, run), NEED, any, 0, now).is_some());
+        assert!(engines.reserve(position(now, run), NEED, any, 0, now).is_some());
     }
-    assert_eq!(engines.reserve(late(now, 8), NEED, any, 0, now), None, "room for one is left");
-    assert!(engines.reserve(place(now, 9), NEED, any, 0, now).is_some());
+    assert_eq!(
+        engines.reserve(overdue(now, 8), NEED, any, 0, now),
+        None,
+        "memory for another request is left"
+    );
+    assert!(engines.reserve(position(now, 9), NEED, any, 0, now).is_some());
 }
 
 #[test]
-fn answers_timed() {
-    // How long an answer takes is known from others, so that none is begun for a caller who leaves
-    // in its midst.
+fn answer_time_estimated() {
+    // The time of an answer is estimated from earlier ones, so that no run starts for a caller whose
+    // deadline ends before its answer does.
     let mut engines = engines(1, 1);
-    assert_eq!(engines.answer_time(700), time::Duration::ZERO, "nothing is known yet");
+    assert_eq!(engines.answer_time(700), time::Duration::ZERO, "no answer was recorded yet");
     engines.record_answer(1_000, 5_000 * MILLI);
     assert_eq!(engines.answer_time(700), 3_500 * MILLI);
     engines.record_answer(0, MILLI);
@@ -236,27 +245,31 @@
 }
 
 #[test]
-fn long_queue_known() {
-    // Far more requests than memory: a newcomer is told at once that its turn comes too late.
+fn wait_estimated() {
+    // With a long queue a new request is rejected at once instead of after a wasted wait.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     assert_eq!(engines.expected_wait(now), time::Duration::ZERO);
     for run in 0..5 {
-        assert!(engines.reserve(place(now, run), NEED, any, 0, now).is_some());
+        assert!(engines.reserve(position(now, run), NEED, any, 0, now).is_some());
     }
     for run in 10..20 {
-        engines.enqueue(place(now + MILLI, run));
+        engines.enqueue(position(now + MILLI, run));
     }
-    assert_eq!(engines.expected_wait(now), 4_000 * MILLI, "five in two seconds, ten wait");
+    assert_eq!(
+        engines.expected_wait(now),
+        4_000 * MILLI,
+        "five grants in two seconds, ten requests queued"
+    );
 }
 
 #[test]
-fn outgrown_runs() {
-    // Hints are right at the median only: half of the answers are longer, some by far.
+fn long_runs_charged() {
+    // Length hints are right at the median only: half of the answers are longer, some by far.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     for run in 0..8 {
-        assert!(engines.reserve(place(now, run), NEED, any, 0, now).is_some());
+        assert!(engines.reserve(position(now, run), NEED, any, 0, now).is_some());
     }
     engines.record_progress("d-0", 0, 400);
     let fill = engines.fill(now);
@@ -264,21 +277,25 @@
     for run in 0..4 {
         engines.record_progress("d-0", run, 2_000);
     }
-    assert!(engines.fill(now) > fill + 150, "four runs have outgrown theirs");
-    assert_eq!(engines.reserve(place(now, 9), NEED, any, 0, now), None);
+    assert!(engines.fill(now) > fill + 150, "four runs exceed their estimates");
+    assert_eq!(engines.reserve(position(now, 9), NEED, any, 0, now), None);
 }
 
 #[test]
-fn belief_and_age() {
+fn estimate_and_age() {
     let mut engines = engines(0, 1);
     let now = time::Instant::now();
-    let told = engine::Commitment { tokens: 17_100, ..engine::Commitment::default() };
-    engines.update_peer("old", &[("d-0".to_string(), told)].into(), now);
-    engines.update_peer("new", &[("d-0".to_string(), told)].into(), now + 400 * MILLI);
+    let commitment = engine::Commitment { tokens: 17_100, ..engine::Commitment::default() };
+    engines.update_peer("old", &[("d-0".to_string(), commitment)].into(), now);
+    engines.update_peer("new", &[("d-0".to_string(), commitment)].into(), now + 400 * MILLI);
     let later = now + 500 * MILLI;
-    let belief = engines.estimate("d-0", later).unwrap();
-    assert_eq!(belief, engine::Estimate { fill: 1_000, age: 500 * MILLI });
-    let belief = engines.estimate("d-0", now + 1_600 * MILLI).unwrap();
-    assert_eq!(belief, engine::Estimate { fill: 500, age: 1_200 * MILLI }, "the old one is silent");
+    let estimate = engines.estimate("d-0", later).unwrap();
+    assert_eq!(estimate, engine::Estimate { fill: 1_000, age: 500 * MILLI });
+    let estimate = engines.estimate("d-0", now + 1_600 * MILLI).unwrap();
+    assert_eq!(
+        estimate,
+        engine::Estimate { fill: 500, age: 1_200 * MILLI },
+        "the older report has expired"
+    );
     assert_eq!(engines.estimate("d-1", now), None);
 }
