--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Decode rooms: reservations, their queue, and that every room comes back.
+//! Slots: reservations, the queue for them, and that every slot is freed.
 
 mod random;
 
@@ -12,63 +12,66 @@
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
 #[test]
-fn earliest_first() {
+fn earliest_deadline_first() {
     let now = time::Instant::now();
-    let mut rooms = slots::Slots::new(1, 8, HOLD);
-    assert_eq!(rooms.request(1, now + SECOND, now), slots::Answer::Granted);
-    assert_eq!(rooms.request(2, now + 9 * SECOND, now), slots::Answer::Queued);
-    assert_eq!(rooms.request(3, now + 4 * SECOND, now), slots::Answer::Queued);
-    assert_eq!(rooms.next_grant(now), None);
-    rooms.release(1, now);
-    assert_eq!(rooms.next_grant(now), Some(3));
-    assert_eq!(rooms.next_grant(now), None);
+    let mut slots = slots::Slots::new(1, 8, HOLD);
+    assert_eq!(slots.request(1, now + SECOND, now), slots::Answer::Granted);
+    assert_eq!(slots.request(2, now + 9 * SECOND, now), slots::Answer::Queued);
+    assert_eq!(slots.request(3, now + 4 * SECOND, now), slots::Answer::Queued);
+    assert_eq!(slots.next_grant(now), None);
+    slots.release(1, now);
+    assert_eq!(slots.next_grant(now), Some(3));
+    assert_eq!(slots.next_grant(now), None);
 }
 
 #[test]
-fn refuses_early() {
+fn hopeless_wait_refused() {
     let now = time::Instant::now();
-    let mut rooms = slots::Slots::new(1, 8, HOLD);
-    rooms.request(1, now + SECOND, now);
-    let answer = rooms.request(2, now + SECOND / 10, now);
+    let mut slots = slots::Slots::new(1, 8, HOLD);
+    slots.request(1, now + SECOND, now);
+    let answer = slots.request(2, now + SECOND / 10, now);
     let slots::Answer::Refused(refusal) = answer else { panic!("{answer:?}") };
-    assert!(refusal.retry.is_some_and(|retry| !retry.is_zero()), "told when to come back");
+    assert!(
+        refusal.retry.is_some_and(|retry| !retry.is_zero()),
+        "the refusal carries a retry time"
+    );
 }
 
 #[test]
-fn refuses_overflow() {
+fn full_queue_refused() {
     let now = time::Instant::now();
-    let mut rooms = slots::Slots::new(1, 2, HOLD);
+    let mut slots = slots::Slots::new(1, 2, HOLD);
     for run in 1..=3 {
-        let answer = rooms.request(run, now + 60 * SECOND, now);
+        let answer = slots.request(run, now + 60 * SECOND, now);
         assert!(!matches!(answer, slots::Answer::Refused(_)));
     }
-    assert!(matches!(rooms.request(4, now + 60 * SECOND, now), slots::Answer::Refused(_)));
+    assert!(matches!(slots.request(4, now + 60 * SECOND, now), slots::Answer::Refused(_)));
 }
 
 #[test]
-fn drops_unused() {
+fn unclaimed_dropped() {
     let now = time::Instant::now();
-    let mut rooms = slots::Slots::new(1, 8, HOLD);
-    rooms.request(1, now + SECOND, now);
-    rooms.request(2, now + 2 * SECOND, now);
-    assert_eq!(rooms.next_expired(now + HOLD / 2).map(|(run, _)| run), Some(2));
-    assert_eq!(rooms.next_expired(now + 2 * HOLD).map(|(run, _)| run), Some(1));
-    assert!(!rooms.claim(1), "too late to take it up");
+    let mut slots = slots::Slots::new(1, 8, HOLD);
+    slots.request(1, now + SECOND, now);
+    slots.request(2, now + 2 * SECOND, now);
+    assert_eq!(slots.next_expired(now + HOLD / 2).map(|(run, _)| run), Some(2));
+    assert_eq!(slots.next_expired(now + 2 * HOLD).map(|(run, _)| run), Some(1));
+    assert!(!slots.claim(1), "the reservation was dropped");
 }
 
 #[test]
-fn keeps_taken() {
+fn claimed_kept() {
     let now = time::Instant::now();
-    let mut rooms = slots::Slots::new(1, 8, HOLD);
-    rooms.request(1, now + SECOND, now);
-    assert!(rooms.claim(1));
-    assert_eq!(rooms.next_expired(now + 100 * HOLD), None);
+    let mut slots = slots::Slots::new(1, 8, HOLD);
+    slots.request(1, now + SECOND, now);
+    assert!(slots.claim(1));
+    assert_eq!(slots.next_expired(now + 100 * HOLD), None);
 }
 
 #[derive(Clone, Debug)]
 enum Op {
-    Ask { run: u128, wait: u64 },
-    TakeUp(u128),
+    Request { run: u128, wait: u64 },
+    Claim(u128),
     Release(u128),
     Grant,
     Expire,
@@ -78,8 +81,8 @@
 fn op() -> impl Strategy<Value = Op> {
     let run = || 0..40u128;
     prop_oneof![
-        (run(), 0..4000u64).prop_map(|(run, wait)| Op::Ask { run, wait }),
-        run().prop_map(Op::TakeUp),
+        (run(), 0..4000u64).prop_map(|(run, wait)| Op::Request { run, wait }),
+        run().prop_map(Op::Claim),
         run().prop_map(Op::Release),
         Just(Op::Grant),
         Just(Op::Expire),
@@ -91,35 +94,35 @@
     #![proptest_config(random::config(2000))]
 
     #[test]
-    fn all_come_back(ops in prop::collection::vec(op(), 1..200)) {
-        let mut rooms = slots::Slots::new(3, 5, HOLD);
+    fn all_slots_freed(ops in prop::collection::vec(op(), 1..200)) {
+        let mut slots = slots::Slots::new(3, 5, HOLD);
         let mut now = time::Instant::now();
-        let mut asked = collections::BTreeSet::new();
+        let mut requested = collections::BTreeSet::new();
         for op in ops {
             match op {
-                Op::Ask { run, wait } if asked.insert(run) => {
-                    rooms.request(run, now + time::Duration::from_millis(wait), now);
+                Op::Request { run, wait } if requested.insert(run) => {
+                    slots.request(run, now + time::Duration::from_millis(wait), now);
                 }
-                Op::Ask { .. } => {}
-                Op::TakeUp(run) => {
-                    rooms.claim(run);
+                Op::Request { .. } => {}
+                Op::Claim(run) => {
+                    slots.claim(run);
                 }
-                Op::Release(run) => rooms.release(run, now),
+                Op::Release(run) => slots.release(run, now),
                 Op::Grant => {
-                    rooms.next_grant(now);
+                    slots.next_grant(now);
                 }
                 Op::Expire => {
-                    rooms.next_expired(now);
+                    slots.next_expired(now);
                 }
                 Op::Advance(millis) => now += time::Duration::from_millis(millis),
             }
-            let load = rooms.load(now);
+            let load = slots.load(now);
             prop_assert!(load.held <= 3, "over capacity: {}", load.held);
             prop_assert!(load.waiting <= 5, "over the queue's limit: {}", load.waiting);
         }
-        for run in asked {
-            rooms.release(run, now);
+        for run in requested {
+            slots.release(run, now);
         }
-        prop_assert_eq!((rooms.load(now).held, rooms.load(now).waiting), (0, 0));
+        prop_assert_eq!((slots.load(now).held, slots.load(now).waiting), (0, 0));
     }
 }
