--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,4 +1,4 @@
-//! Decode memory of one engine: timed reservations and the queue for them.
+//! Slots of one engine: timed reservations and the queue for them.
 
 use std::{collections, time};
 
@@ -6,45 +6,48 @@
 
 use outcome::{Reason, Refusal};
 
-/// Answer to a request for room.
+/// Answer to a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The room is reserved.
+    /// A slot is reserved.
     Granted,
-    /// The request waits; [`Slots::next_grant`] will name it.
+    /// The request is queued; [`Slots::next_grant`] returns its run when a slot is free.
     Queued,
-    /// No room can be had in time.
+    /// No slot is expected to be free in time.
     Refused(Refusal),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Holding {
+struct Reservation {
     since: time::Instant,
     work: time::Duration,
-    // A reservation that is not taken up by then is dropped.
-    until: Option<time::Instant>,
+    // The reservation is dropped then, unless it was claimed.
+    expires_at: Option<time::Instant>,
 }
 
-/// Slots of one engine.
+/// Slots of one engine and the queue for them.
 #[derive(Clone, Debug)]
 pub struct Slots {
     capacity: u32,
     max_waiting: usize,
     hold: time::Duration,
-    held: collections::BTreeMap<ids::RunId, Holding>,
-    // Ordered by the last moment at which a grant is of use.
+    held: collections::BTreeMap<ids::RunId, Reservation>,
+    // Work by run, ordered by the time until which a grant is useful.
     waiting: collections::BTreeMap<(time::Instant, ids::RunId), time::Duration>,
-    mean_stay: time::Duration,
+    mean_hold: time::Duration,
 }
 
-const FIRST_STAY: time::Duration = time::Duration::from_millis(500);
+/// Mean time for which a slot is held, before any was freed.
+const INITIAL_HOLD: time::Duration = time::Duration::from_millis(500);
+/// Shortest retry time of a refusal.
 const MIN_RETRY: time::Duration = time::Duration::from_millis(100);
-const STAY_WEIGHT: u32 = 8;
-/// Part of the rooms that is kept for callers within their share, as a divisor.
+/// Weight of the latest hold in the moving average, as a divisor.
+const HOLD_DIVISOR: u32 = 8;
+/// Share of the slots that is kept for callers within their fair share, as a divisor.
 const SPARE_DIVISOR: u32 = 10;
 
 impl Slots {
-    /// Makes `capacity` free rooms; a reservation lasts for `hold` unless it is taken up.
+    /// Makes `capacity` free slots; a reservation that is not claimed expires after `hold`.
     pub fn new(capacity: u32, max_waiting: usize, hold: time::Duration) -> Slots {
         Slots {
             capacity,
@@ -52,11 +55,11 @@
             hold,
             held: collections::BTreeMap::new(),
             waiting: collections::BTreeMap::new(),
-            mean_stay: FIRST_STAY,
+            mean_hold: INITIAL_HOLD,
         }
     }
 
-    /// Asks for a room that is of use until `wait_by`.
+    /// Requests a slot; a grant is useful until `wait_by`.
     pub fn request(
         &mut self,
         run: ids::RunId,
@@ -66,7 +69,8 @@
         self.request_work(run, time::Duration::ZERO, wait_by, now)
     }
 
-    /// Asks for a room for a known amount of work; the work of all who hold rooms is done in turn.
+    /// Requests a slot for a known amount of work; the engine does the work of all held slots one
+    /// after the other.
     pub fn request_work(
         &mut self,
         run: ids::RunId,
@@ -87,42 +91,45 @@
         Answer::Queued
     }
 
-    // Expected wait of a newcomer at the given place of the queue.
+    // Expected wait of a new request at `position` in the queue.
     fn wait_before(
         &self,
-        place: (time::Instant, ids::RunId),
+        position: (time::Instant, ids::RunId),
         has_work: bool,
         now: time::Instant,
     ) -> time::Duration {
-        let ahead = self.waiting.range(..place);
+        let ahead = self.waiting.range(..position);
         if has_work {
-            return self.work_held(now) + ahead.map(|(_, work)| *work).sum::<time::Duration>();
+            return self.remaining_work(now) + ahead.map(|(_, work)| *work).sum::<time::Duration>();
         }
         self.wait_behind(ahead.count())
     }
 
-    fn work_held(&self, now: time::Instant) -> time::Duration {
-        let total: time::Duration = self.held.values().map(|holding| holding.work).sum();
-        let oldest = self.held.values().map(|holding| holding.since).min().unwrap_or(now);
+    // Work of the held slots that is not done yet, assuming that it began with the oldest slot.
+    fn remaining_work(&self, now: time::Instant) -> time::Duration {
+        let total: time::Duration = self.held.values().map(|reservation| reservation.work).sum();
+        let oldest = self.held.values().map(|reservation| reservation.since).min().unwrap_or(now);
         total.saturating_sub(now.saturating_duration_since(oldest))
     }
 
+    // Expected wait behind `ahead` queued requests, from the mean time for which slots are held.
     fn wait_behind(&self, ahead: usize) -> time::Duration {
-        self.mean_stay * (ahead as u32 + 1) / self.capacity.max(1)
+        self.mean_hold * (ahead as u32 + 1) / self.capacity.max(1)
     }
 
     fn grant(&mut self, run: ids::RunId, work: time::Duration, now: time::Instant) {
-        let until = Some(now + self.hold);
-        self.held.insert(run, Holding { since: now, work, until });
+        let expires_at = Some(now + self.hold);
+        self.held.insert(run, Reservation { since: now, work, expires_at });
     }
 
-    /// Takes up the reservation of `run`; false if it was dropped meanwhile.
+    /// Claims the reservation of `run`, which then does not expire; false if it was dropped before.
     pub fn claim(&mut self, run: ids::RunId) -> bool {
-        let holding = self.held.get_mut(&run);
-        holding.map(|holding| holding.until = None).is_some()
+        let reservation = self.held.get_mut(&run);
+        reservation.map(|reservation| reservation.expires_at = None).is_some()
     }
 
-    /// Asks for a room that nobody else will need soon; never waits.
+    /// Requests a slot for a caller above its fair share; granted only while spare slots are left,
+    /// never queued.
     pub fn request_spare(
         &mut self,
         run: ids::RunId,
@@ -138,18 +145,18 @@
         Answer::Refused(Refusal::not_run(Reason::OverShare, retry))
     }
 
-    /// Frees the room of `run`, or takes it out of the queue.
+    /// Frees the slot of `run`, or removes it from the queue.
     pub fn release(&mut self, run: ids::RunId, now: time::Instant) {
         self.waiting.retain(|(_, other), _| *other != run);
-        if let Some(holding) = self.held.remove(&run)
-            && holding.until.is_none()
+        if let Some(reservation) = self.held.remove(&run)
+            && reservation.expires_at.is_none()
         {
-            let stay = now.saturating_duration_since(holding.since);
-            self.mean_stay = (self.mean_stay * (STAY_WEIGHT - 1) + stay) / STAY_WEIGHT;
+            let held = now.saturating_duration_since(reservation.since);
+            self.mean_hold = (self.mean_hold * (HOLD_DIVISOR - 1) + held) / HOLD_DIVISOR;
         }
     }
 
-    /// Grants a free room to the next waiting run.
+    /// Grants a free slot to the next queued run.
     pub fn next_grant(&mut self, now: time::Instant) -> Option<ids::RunId> {
         if self.held.len() as u32 >= self.capacity {
             return None;
@@ -159,7 +166,7 @@
         Some(run)
     }
 
-    /// Drops the next waiting run or reservation whose time has passed.
+    /// Drops the next queued run or unclaimed reservation that has expired.
     pub fn next_expired(&mut self, now: time::Instant) -> Option<(ids::RunId, Refusal)> {
         if let Some((wait_by, run)) = self.waiting.keys().next().copied()
             && wait_by < now
@@ -168,18 +175,20 @@
             let retry = self.wait_behind(self.waiting.len()).max(MIN_RETRY);
             return Some((run, Refusal::not_run(Reason::NoRoom, retry)));
         }
-        let is_late = |holding: &Holding| holding.until.is_some_and(|until| until < now);
-        let run = self.held.iter().find(|(_, holding)| is_late(holding)).map(|(run, _)| *run)?;
+        let is_expired =
+            |reservation: &Reservation| reservation.expires_at.is_some_and(|at| at < now);
+        let mut held = self.held.iter();
+        let run = held.find(|(_, reservation)| is_expired(reservation)).map(|(run, _)| *run)?;
         self.held.remove(&run);
         Some((run, Refusal::not_run(Reason::TooLate, MIN_RETRY)))
     }
 
-    /// Changes the number of rooms; holders above it keep theirs.
+    /// Changes the number of slots; runs that hold a slot above it keep it.
     pub fn set_capacity(&mut self, capacity: u32) {
         self.capacity = capacity;
     }
 
-    /// Writes the rooms' part of a load report.
+    /// Load of the slots, for a load report.
     pub fn load(&self, now: time::Instant) -> load::Load {
         load::Load {
             slots: self.capacity,
@@ -191,7 +200,7 @@
     }
 
     fn queue_ms(&self, now: time::Instant) -> u32 {
-        let work = self.work_held(now) + self.waiting.values().sum::<time::Duration>();
+        let work = self.remaining_work(now) + self.waiting.values().sum::<time::Duration>();
         if !work.is_zero() {
             return work.as_millis() as u32;
         }
