--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,24 +1,25 @@
-//! Load of one backend server, as its agent reports it.
+//! Load report of one backend server, written by its agent.
 
 use std::fmt;
 
 use serde::{de, ser};
 
-/// Snapshot of an agent's load; sent about once a second to each follower.
+/// Load of a server; its agent sends it to each follower about once a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that the server can hold at once.
+    /// Number of slots: requests that the server can hold at once.
     pub slots: u32,
-    /// Requests that hold engine memory or a reservation now.
+    /// Requests that hold a slot, reserved or claimed.
     pub held: u32,
-    /// Requests waiting at the agent.
+    /// Requests queued at the agent.
     pub waiting: u32,
-    /// Time until a request arriving now would start, in milliseconds.
+    /// Expected time until a request that arrives now starts, in milliseconds.
     pub queue_ms: u32,
     /// Whether the agent refuses new work because it is stopping.
     pub leaving: bool,
 }
 
+/// Number of fields of a report, which is written as a tuple.
 const FIELDS: usize = 5;
 
 impl ser::Serialize for Load {
