--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -1,4 +1,4 @@
-//! Servers of one service and role as one entry sees them, and the choice among them.
+//! Servers of one service and role, as one entry knows them, and the choice among them.
 
 use std::{collections, time};
 
@@ -6,18 +6,18 @@
 
 use outcome::Reason;
 
-/// One server as seen by an entry.
+/// One server, as an entry knows it.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Availability zone of the server.
     pub zone: ids::ZoneName,
-    /// Last load heard.
+    /// Last reported load.
     pub load: load::Load,
-    /// When the load was heard.
+    /// When the load report was received.
     pub reported_at: Option<time::Instant>,
-    /// Requests sent since the load was heard, which it does not count yet.
+    /// Requests sent since the load report, which does not count them yet.
     pub sent: u32,
-    /// Work sent since the load was heard.
+    /// Work sent since the load report.
     pub sent_work: time::Duration,
     /// Requests of this entry in flight.
     pub open: u32,
@@ -25,44 +25,44 @@
     pub failures: u32,
     /// Consecutive ejections.
     pub ejections: u32,
-    /// Not chosen until then, unless all servers are ejected.
+    /// End of its ejection; not chosen before, unless all servers are ejected.
     pub ejected_until: Option<time::Instant>,
-    /// Known to be leaving.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// Failures among its own answers.
+    /// Failures among its own answers to requests.
     pub record: record::Record,
 }
 
-/// How an entry judges servers.
+/// Parameters of the health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// A server that was heard before and not for this long is used like an ejected one.
+    /// A server that stopped reporting this long ago is treated like an ejected one, if set.
     pub suspect_after: Option<time::Duration>,
-    /// Whether each ejection in a row lasts twice as long as the one before.
+    /// Whether consecutive ejections double in length.
     pub backoff: bool,
 }
 
-/// What the end of a request tells of its server.
+/// Outcome of a request as far as its server is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// The server did its part, and it was of use.
+    /// The server did its work, and the result was used.
     Success,
-    /// Nothing is known of its use.
+    /// It is not known yet whether the result is used.
     Unknown,
     /// The server refused or failed.
     Failure(Reason),
 }
 
-/// What an entry believes of a server's load.
+/// Estimated load of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// Requests that it has, running and waiting.
+    /// Requests running or queued at the server.
     pub busy: u32,
-    /// Age of its last word on that.
+    /// Age of the last load report.
     pub age: time::Duration,
 }
 
-/// Pool of servers.
+/// Servers of one service and role.
 #[derive(Clone, Debug)]
 pub struct Pool {
     zone: ids::ZoneName,
@@ -70,32 +70,42 @@
     servers: collections::BTreeMap<ids::ServerName, Server>,
 }
 
-/// What a request asks of the choice.
+/// Criteria for the choice of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
     /// Servers that already failed or refused this request.
     pub tried: &'a [ids::ServerName],
-    /// Hash of the prompt's prefix, whose preferred server wins if it is not loaded more.
+    /// Hash of the prompt's prefix; its preferred server is chosen unless its score is worse than
+    /// the best by more than a margin.
     pub affinity: Option<u128>,
-    /// Two random numbers in one.
+    /// Two random numbers, in the lower and the upper half.
     pub random: u64,
-    /// Whether servers are compared by the work before them instead of by requests.
+    /// Whether servers are compared by their pending work instead of their number of requests.
     pub by_work: bool,
 }
 
+/// Consecutive failures that eject a server.
 const EJECT_AFTER: u32 = 3;
+/// Most doublings of the length of an ejection.
 const MAX_DOUBLINGS: u32 = 3;
-const UNREACHABLE_FOR: time::Duration = time::Duration::from_secs(1);
-const EJECT_FOR: time::Duration = time::Duration::from_secs(5);
-/// Servers of a pool that may be left out for their failures, as a divisor.
-const MAX_OUT_DIVISOR: usize = 3;
+/// Length of the first ejection of a server that cannot be reached.
+const UNREACHABLE_EJECTION: time::Duration = time::Duration::from_secs(1);
+/// Length of the first ejection of a server that fails.
+const FAILURE_EJECTION: time::Duration = time::Duration::from_secs(5);
+/// Share of a pool's servers that may be ejected as outliers, as a divisor.
+const MAX_EJECTED_DIVISOR: usize = 3;
+/// Age from which a load report is stale.
 const STALE_AFTER: time::Duration = time::Duration::from_secs(5);
-// Scores are in thousandths of the server's rooms.
+/// Score of a server whose slots are all taken; the penalties below are in the same unit.
 const SCALE: u64 = 1000;
+/// Pending work that scores as much as a server whose slots are all taken.
 const WORK_SCALE_MS: u64 = 1000;
-const AWAY_SCORE: u64 = 150;
-const AFFINITY_SLACK: u64 = 250;
-const STALE_SCORE: u64 = 500;
+/// Penalty of a server in another availability zone.
+const REMOTE_PENALTY: u64 = 150;
+/// Margin by which the score of a prefix's preferred server may be worse than the best.
+const AFFINITY_MARGIN: u64 = 250;
+/// Penalty of a server without a recent load report.
+const STALE_PENALTY: u64 = 500;
 
 impl Pool {
     /// Makes an empty pool for an entry in `zone`.
@@ -104,14 +114,14 @@
         Pool { zone, tuning, servers: collections::BTreeMap::new() }
     }
 
-    /// Sets how servers are judged.
+    /// Sets the parameters of the health checks.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
 
     /// Adds a server or updates its availability zone.
     pub fn add(&mut self, name: &str, zone: &str) {
-        let fresh = || Server {
+        let new = || Server {
             zone: zone.to_string(),
             load: load::Load::default(),
             reported_at: None,
@@ -124,7 +134,7 @@
             leaving: false,
             record: record::Record::default(),
         };
-        self.servers.entry(name.to_string()).or_insert_with(fresh).zone = zone.to_string();
+        self.servers.entry(name.to_string()).or_insert_with(new).zone = zone.to_string();
     }
 
     /// Keeps only the servers for which `keep` holds.
@@ -137,10 +147,11 @@
         self.servers.remove(name);
     }
 
-    /// Servers that were heard lately, have room to offer, and neither leave nor are ejected.
+    /// Number of servers with a recent load report and at least one slot, neither leaving nor
+    /// ejected.
     pub fn usable_count(&self, now: time::Instant) -> usize {
         let usable = self.servers.values().filter(|server| {
-            let is_fresh = server.reported_at.is_some_and(|heard| now <= heard + STALE_AFTER);
+            let is_fresh = server.reported_at.is_some_and(|at| now <= at + STALE_AFTER);
             let is_ejected = server.ejected_until.is_some_and(|until| now < until);
             is_fresh && server.load.slots > 0 && !server.leaving && !is_ejected
         });
@@ -157,7 +168,7 @@
         self.servers.keys()
     }
 
-    /// Takes a load report.
+    /// Updates a server with its newest load report.
     pub fn update_load(&mut self, name: &str, load: load::Load, now: time::Instant) {
         if let Some(server) = self.servers.get_mut(name) {
             server.load = load;
@@ -168,14 +179,14 @@
         }
     }
 
-    /// Takes the platform's word on whether a server is leaving.
+    /// Sets whether a server is leaving, as the platform reports.
     pub fn set_leaving(&mut self, name: &str, leaving: bool) {
         if let Some(server) = self.servers.get_mut(name) {
             server.leaving = leaving;
         }
     }
 
-    /// Notes a request sent to a server, with the work expected of it.
+    /// Records a request sent to a server, and its expected work.
     pub fn record_sent(&mut self, name: &str, work: time::Duration) {
         if let Some(server) = self.servers.get_mut(name) {
             server.sent += 1;
@@ -184,86 +195,89 @@
         }
     }
 
-    /// Notes the end of a request.
-    pub fn record_end(&mut self, name: &str, end: ServerOutcome, now: time::Instant) {
+    /// Records the outcome of a request.
+    pub fn record_end(&mut self, name: &str, outcome: ServerOutcome, now: time::Instant) {
         if let Some(server) = self.servers.get_mut(name) {
             server.open = server.open.saturating_sub(1);
         }
-        self.record_outcome(name, end, now);
+        self.record_outcome(name, outcome, now);
     }
 
-    /// Takes in what is known of a server.
+    /// Records what an outcome shows about the health of a server.
     ///
-    /// A server that says that it leaves is not chosen until it reports otherwise; one that
+    /// A server that answers that it is leaving is not chosen until it reports otherwise; one that
     /// cannot be reached, or fails repeatedly, is ejected for a while.
-    pub fn record_outcome(&mut self, name: &str, end: ServerOutcome, now: time::Instant) {
-        let growing = self.tuning.backoff;
+    pub fn record_outcome(&mut self, name: &str, outcome: ServerOutcome, now: time::Instant) {
+        let backoff = self.tuning.backoff;
         let Some(server) = self.servers.get_mut(name) else { return };
-        match end {
+        match outcome {
             ServerOutcome::Success => {
                 server.failures = 0;
                 server.ejections = 0;
             }
             ServerOutcome::Failure(Reason::Leaving) => server.leaving = true,
-            // With decode room reserved, only a source that cannot send lets its result expire.
-            ServerOutcome::Failure(Reason::Evicted) => server.eject(EJECT_FOR, growing, now),
-            ServerOutcome::Failure(Reason::NoServer) => server.eject(UNREACHABLE_FOR, growing, now),
+            // The decode slot is reserved, so a result expires only where its prefill server fails to
+            // send it.
+            ServerOutcome::Failure(Reason::Evicted) => server.eject(FAILURE_EJECTION, backoff, now),
+            ServerOutcome::Failure(Reason::NoServer) => {
+                server.eject(UNREACHABLE_EJECTION, backoff, now)
+            }
             ServerOutcome::Failure(reason) if is_fault(reason) => {
                 server.failures += 1;
                 if server.failures >= EJECT_AFTER {
                     server.failures = 0;
-                    server.eject(EJECT_FOR, growing, now);
+                    server.eject(FAILURE_EJECTION, backoff, now);
                 }
             }
             ServerOutcome::Unknown | ServerOutcome::Failure(_) => {}
         }
     }
 
-    /// Notes whether a server's own answer was a failure.
+    /// Records whether a server's own answer was a failure.
     ///
-    /// A server that fails far more often than the others is left out for a while, as long as
-    /// most of the others are not.
+    /// A server that fails far more often than the others is ejected for a while, unless too many
+    /// of the others are ejected already.
     pub fn record_answer(&mut self, name: &str, has_failed: bool, now: time::Instant) {
         let Some(server) = self.servers.get_mut(name) else { return };
         server.record.note(has_failed);
         let others: Vec<_> = self.servers.iter().filter(|(other, _)| *other != name).collect();
         let records = others.iter().map(|(_, server)| &server.record);
-        let usual = record::median(records);
-        let is_out = |server: &Server| server.ejected_until.is_some_and(|until| now < until);
-        let out = others.iter().filter(|(_, server)| is_out(server)).count();
-        let growing = self.tuning.backoff;
-        if out * MAX_OUT_DIVISOR >= self.servers.len() {
+        let median = record::median(records);
+        let is_ejected = |server: &Server| server.ejected_until.is_some_and(|until| now < until);
+        let ejected = others.iter().filter(|(_, server)| is_ejected(server)).count();
+        let backoff = self.tuning.backoff;
+        if ejected * MAX_EJECTED_DIVISOR >= self.servers.len() {
             return;
         }
-        if let (Some(server), Some(usual)) = (self.servers.get_mut(name), usual)
-            && server.record.is_outlier(usual)
+        if let (Some(server), Some(median)) = (self.servers.get_mut(name), median)
+            && server.record.is_outlier(median)
         {
             server.record = record::Record::default();
-            server.eject(EJECT_FOR, growing, now);
+            server.eject(FAILURE_EJECTION, backoff, now);
         }
     }
 
     /// Chooses a server: the better of two random ones, or the prefix's preferred server.
     ///
-    /// Ejected servers are used only when no other is left, and tried ones only after those;
-    /// leaving ones never.
-    pub fn pick(&self, wish: Criteria<'_>, now: time::Instant) -> Option<ids::ServerName> {
-        let usable = self.candidates(wish.tried, |_| true, now);
+    /// Ejected servers are chosen only if there is no other, servers that were tried only if there
+    /// are no ejected ones either, and leaving servers never.
+    pub fn pick(&self, criteria: Criteria<'_>, now: time::Instant) -> Option<ids::ServerName> {
+        let usable = self.candidates(criteria.tried, |_| true, now);
         let count = usable.len();
-        let at = wish.random as u32 as usize % count.max(1);
+        let at = criteria.random as u32 as usize % count.max(1);
         let first = usable.get(at)?;
-        // A different one, as far as there is one.
-        let step = 1 + (wish.random >> 32) as usize % (count - 1).max(1);
+        // A different server, unless there is only one.
+        let step = 1 + (criteria.random >> 32) as usize % (count - 1).max(1);
         let second = usable[(at + step) % count];
-        let score = |name: &ids::ServerName| self.score(name, wish.by_work, now);
+        let score = |name: &ids::ServerName| self.score(name, criteria.by_work, now);
         let best = if score(second) < score(first) { second } else { first };
-        let Some(prefix) = wish.affinity else { return Some(best.clone()) };
-        let liked = crate::home::rank(prefix, usable.iter().copied()).into_iter().next()?;
-        let is_near = score(liked) <= score(best) + AFFINITY_SLACK;
-        Some(if is_near { liked.clone() } else { best.clone() })
+        let Some(prefix) = criteria.affinity else { return Some(best.clone()) };
+        let preferred = crate::home::rank(prefix, usable.iter().copied()).into_iter().next()?;
+        let is_close = score(preferred) <= score(best) + AFFINITY_MARGIN;
+        Some(if is_close { preferred.clone() } else { best.clone() })
     }
 
-    /// Requests that a server is believed to have: as it last told, and what was sent since.
+    /// Estimated number of requests at a server: the last report and what was sent since.
     pub fn busy(&self, name: &str) -> u32 {
         let server = self.servers.get(name);
         server.map_or(0, |server| {
@@ -271,14 +285,14 @@
         })
     }
 
-    /// What is believed of a server's load.
+    /// Estimated load of a server; none before its first report.
     pub fn estimate(&self, name: &str, now: time::Instant) -> Option<Estimate> {
-        let heard = self.servers.get(name)?.reported_at?;
-        Some(Estimate { busy: self.busy(name), age: now.saturating_duration_since(heard) })
+        let reported_at = self.servers.get(name)?.reported_at?;
+        Some(Estimate { busy: self.busy(name), age: now.saturating_duration_since(reported_at) })
     }
 
     /// Servers to choose from among those that are `allowed`, in the order of [`Pool::pick`]:
-    /// sound ones, else ejected ones, else those that were tried.
+    /// healthy ones, else ejected ones, else those that were tried.
     pub fn candidates(
         &self,
         tried: &[ids::ServerName],
@@ -287,13 +301,13 @@
     ) -> Vec<&ids::ServerName> {
         let staying =
             || self.servers.iter().filter(|(name, server)| !server.leaving && allowed(name));
-        let is_sound = |server: &Server| {
+        let is_healthy = |server: &Server| {
             server.ejected_until.is_none_or(|until| until <= now) && !self.is_suspect(server, now)
         };
         let is_tried = |name: &ids::ServerName| tried.iter().any(|other| other == name);
         let by_rank = |rank: usize| {
             let chosen =
-                staying().filter(|(name, server)| match (is_tried(name), is_sound(server)) {
+                staying().filter(|(name, server)| match (is_tried(name), is_healthy(server)) {
                     (false, true) => rank == 0,
                     (false, false) => rank == 1,
                     (true, _) => rank == 2,
@@ -304,32 +318,32 @@
     }
 
     fn is_suspect(&self, server: &Server, now: time::Instant) -> bool {
-        let (Some(after), Some(heard)) = (self.tuning.suspect_after, server.reported_at) else {
+        let (Some(after), Some(at)) = (self.tuning.suspect_after, server.reported_at) else {
             return false;
         };
-        now > heard + after
+        now > at + after
     }
 
     fn score(&self, name: &ids::ServerName, by_work: bool, now: time::Instant) -> u64 {
         let server = &self.servers[name];
         let mut score = if by_work { work_score(server, now) } else { busy_score(server) };
         if server.zone != self.zone {
-            score += AWAY_SCORE;
+            score += REMOTE_PENALTY;
         }
-        if server.reported_at.is_none_or(|heard| now > heard + STALE_AFTER) {
-            score += STALE_SCORE;
+        if server.reported_at.is_none_or(|at| now > at + STALE_AFTER) {
+            score += STALE_PENALTY;
         }
         score
     }
 }
 
 impl Server {
-    fn eject(&mut self, time: time::Duration, growing: bool, now: time::Instant) {
-        let factor = if growing { 1 << self.ejections.min(MAX_DOUBLINGS) } else { 1 };
-        // Requests that fail together eject the server once.
+    fn eject(&mut self, length: time::Duration, backoff: bool, now: time::Instant) {
+        let factor = if backoff { 1 << self.ejections.min(MAX_DOUBLINGS) } else { 1 };
+        // Requests that fail at the same time eject the server once.
         if self.ejected_until.is_none_or(|until| until <= now) {
             self.ejections += 1;
-            self.ejected_until = Some(now + time * factor);
+            self.ejected_until = Some(now + length * factor);
         }
     }
 }
@@ -343,10 +357,10 @@
     busy.max(u64::from(server.open)) * SCALE / u64::from(server.load.slots.max(1))
 }
 
-// What was reported is worked off meanwhile. One second of work weighs as much as full rooms.
+// Score by pending work; the server works it off from the time of its report.
 fn work_score(server: &Server, now: time::Instant) -> u64 {
     let reported = time::Duration::from_millis(u64::from(server.load.queue_ms));
-    let since = server.reported_at.map_or(time::Duration::ZERO, |heard| now - heard);
+    let since = server.reported_at.map_or(time::Duration::ZERO, |at| now - at);
     let left = (reported + server.sent_work).saturating_sub(since);
     left.as_millis() as u64 * SCALE / WORK_SCALE_MS
 }
