--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of servers: load, zones, judgement, and the bounded part that an entry follows.
+//! Choice of servers: load, zones, health, and the bounded subset that an entry follows.
 
 use std::{collections, time};
 
@@ -23,13 +23,13 @@
     load::Load { slots: 20, held, ..load::Load::default() }
 }
 
-/// How often each server is chosen in many choices.
+/// Number of times that each server is chosen in 2,000 choices, by name.
 fn counts(pool: &pool::Pool, tried: &[ids::ServerName], now: time::Instant) -> Vec<usize> {
     let mut counts = collections::BTreeMap::new();
     for number in 0..2000u64 {
         let random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wish = pool::Criteria { tried, affinity: None, random, by_work: false };
-        if let Some(name) = pool.pick(wish, now) {
+        let criteria = pool::Criteria { tried, affinity: None, random, by_work: false };
+        if let Some(name) = pool.pick(criteria, now) {
             *counts.entry(name).or_insert(0) += 1;
         }
     }
@@ -38,27 +38,27 @@
 }
 
 #[test]
-fn less_loaded() {
+fn least_loaded() {
     let now = time::Instant::now();
     let mut pool = pool(3, now);
     pool.update_load("s-0", load(20), now);
     let counts = counts(&pool, &[], now);
-    assert_eq!(counts[0], 0, "two different servers are compared: {counts:?}");
+    assert_eq!(counts[0], 0, "compared with a different server each time: {counts:?}");
 }
 
 #[test]
-fn own_dispatches() {
+fn own_requests_count() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     for _ in 0..10 {
         pool.record_sent("s-0", time::Duration::ZERO);
     }
     let counts = counts(&pool, &[], now);
-    assert!(counts[0] < counts[1], "sent since the report: {counts:?}");
+    assert!(counts[0] < counts[1], "ten requests sent since the report: {counts:?}");
 }
 
 #[test]
-fn near_zone() {
+fn local_zone_preferred() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     pool.add("s-1", "zone-2");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn leaving_never() {
+fn leaving_excluded() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     pool.record_outcome("s-0", pool::ServerOutcome::Failure(Reason::Leaving), now);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn never_emptied() {
+fn ejected_as_fallback() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     for name in ["s-0", "s-1"] {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn ejection_grows() {
+fn ejection_doubles() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     pool.record_outcome("s-0", pool::ServerOutcome::Failure(Reason::Evicted), now);
@@ -104,20 +104,24 @@
     for name in ["s-0", "s-1"] {
         pool.update_load(name, load(0), later + 8 * SECOND);
     }
-    assert_eq!(counts(&pool, &[], later + 8 * SECOND)[0], 0, "twice as long");
+    assert_eq!(
+        counts(&pool, &[], later + 8 * SECOND)[0],
+        0,
+        "the second ejection lasts twice as long"
+    );
 }
 
 #[test]
-fn silent_suspect() {
+fn unresponsive_suspected() {
     let now = time::Instant::now();
     let mut pool = pool(2, now);
     let later = now + 4 * SECOND;
     pool.update_load("s-1", load(19), later);
-    assert_eq!(counts(&pool, &[], later)[0], 0, "it stopped reporting");
+    assert_eq!(counts(&pool, &[], later)[0], 0, "the server stopped reporting");
 }
 
 #[test]
-fn subset_bounded() {
+fn followers_spread() {
     let candidates: Vec<_> = (0..300)
         .map(|number| subset::Candidate {
             name: format!("s-{number}"),
@@ -135,24 +139,24 @@
         }
     }
     let (least, most) = (followers.values().min().unwrap(), followers.values().max().unwrap());
-    assert!(*least >= 1 && *most <= 30, "12 on the mean, {least} to {most}");
+    assert!(*least >= 1 && *most <= 30, "12 on average, {least} to {most}");
     let small = subset::choose("entry-1", "zone-9", &candidates[..3], 12);
-    assert_eq!(small.len(), 3, "a small pool is followed whole");
+    assert_eq!(small.len(), 3, "all servers of a small pool are followed");
 }
 
 #[test]
-fn few_move() {
+fn subset_stable() {
     let candidate =
         |number: usize| subset::Candidate { name: format!("s-{number}"), zone: "zone-1".into() };
     let all: Vec<_> = (0..100).map(candidate).collect();
     let before = subset::choose("entry-1", "zone-1", &all, 12);
     let after = subset::choose("entry-1", "zone-1", &all[..99], 12);
     let kept = after.iter().filter(|name| before.contains(name)).count();
-    assert!(kept >= 11, "one server went, {kept} of 12 stay");
+    assert!(kept >= 11, "one server was removed, {kept} of 12 remain");
 }
 
 #[test]
-fn bytes_bounded() {
+fn traffic_bounded() {
     for followed in [1, 10, 216, 5000] {
         let bytes = followed as f64 * 150.0 / subset::period(followed).as_secs_f64();
         assert!(bytes <= 4_001.0, "{followed} servers: {bytes} bytes a second");
@@ -160,12 +164,16 @@
 }
 
 #[test]
-fn belief_told() {
+fn load_estimated() {
     let now = time::Instant::now();
     let mut pool = pool(1, now);
     pool.update_load("s-0", load(3), now);
     pool.record_sent("s-0", time::Duration::ZERO);
-    let belief = pool.estimate("s-0", now + SECOND).unwrap();
-    assert_eq!((belief.busy, belief.age), (4, SECOND), "as it told, and what was sent since");
+    let estimate = pool.estimate("s-0", now + SECOND).unwrap();
+    assert_eq!(
+        (estimate.busy, estimate.age),
+        (4, SECOND),
+        "the reported requests and those sent since"
+    );
     assert_eq!(pool.estimate("s-9", now), None);
 }
