--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -6,19 +6,19 @@
 
 /// Name of a route.
 pub type RouteName = String;
-/// Host that callers name, without a port.
+/// Host of a request, without a port.
 pub type Host = String;
 
-/// What may be repeated of a route's requests.
+/// Which of a route's requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Idempotent: may run more than once.
     Safe,
     /// Runs at most once.
     Unsafe,
-    /// A series of events; it may run again only where it is `resumable`.
+    /// A stream of events; may run more than once only if it is `resumable`.
     Stream {
-        /// Whether another server may go on after the last event that was delivered.
+        /// Whether another server can continue after the last event that was delivered.
         resumable: bool,
     },
 }
@@ -33,9 +33,9 @@
 /// Share of a route's requests that goes to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// Service.
+    /// Service that gets the requests.
     pub service: ids::ServiceName,
-    /// Share, relative to the sum of the route's weights.
+    /// Weight, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
@@ -46,35 +46,35 @@
     pub name: RouteName,
     /// Host of its requests.
     pub host: Host,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Which requests may be repeated.
     pub kind: Kind,
     /// Longest time until the final answer.
     pub timeout: time::Duration,
-    /// Time within which an answer, or a stream's first event, is of full use.
+    /// Latency target of an answer, or of a stream's first event.
     pub target: time::Duration,
-    /// Longest pause between the events of a stream that is in time, where the route tells one.
+    /// Longest gap between the events of a stream that meets its target, where the route sets one.
     pub max_gap: Option<time::Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services behind the route.
+    /// Services of the route, with their weights.
     pub splits: Vec<Split>,
-    /// Most servers at which one request may run.
+    /// Maximum number of servers at which one request may run.
     pub attempts: u32,
 }
 
 impl Route {
-    /// Service for a request; `draw` is uniform over `u64`.
+    /// Chooses the service for a request; `draw` is random, uniform over `u64`.
     pub fn service(&self, draw: u64) -> Option<&ids::ServiceName> {
         let total: u64 = self.splits.iter().map(|split| u64::from(split.weight)).sum();
-        let mut at = draw % total.max(1);
+        let mut rest = draw % total.max(1);
         for split in &self.splits {
             let weight = u64::from(split.weight);
-            if at < weight {
+            if rest < weight {
                 return Some(&split.service);
             }
-            at -= weight;
+            rest -= weight;
         }
         None
     }
@@ -85,15 +85,15 @@
 pub struct Engine {
     /// Requests that run at once.
     pub slots: u32,
-    /// Memory for KV cache, in tokens.
+    /// Memory of the KV cache, in tokens.
     pub memory: u32,
-    /// Time for which the result of a prefill is kept.
+    /// Time for which an engine keeps the result of a prefill.
     pub handle_ttl: time::Duration,
-    /// Time that a change of stage takes after running work has ended.
+    /// Time that a change of stage takes once the running work has ended.
     pub switch_time: time::Duration,
-    /// Tokens of one event of a stream.
+    /// Tokens in one event of a stream.
     pub event_tokens: u32,
-    /// Longest time for which memory can be set aside, where engines do that.
+    /// Longest time for which an engine holds memory for a request, if it supports holds.
     pub hold_ttl: Option<time::Duration>,
 }
 
@@ -102,20 +102,20 @@
 pub struct Service {
     /// Connections that one server accepts from all callers together.
     pub connections: u32,
-    /// Set for a service of model engines.
+    /// Engines, if the service runs a model.
     pub engine: Option<Engine>,
 }
 
 /// Limits on what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of headers.
+    /// Maximum size of the headers, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
 }
 
-/// One version of the routes and services.
+/// One version of the configuration of routes and services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Version; a higher one replaces a lower one.
@@ -124,16 +124,16 @@
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: collections::BTreeMap<ids::ServiceName, Service>,
-    /// Limits.
+    /// Limits on what callers send.
     pub limits: Limits,
 }
 
 impl Config {
     /// Route of a request: the longest prefix among those of `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let fits = |route: &&Route| {
+        let matches = |route: &&Route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix)
         };
-        self.routes.iter().filter(fits).max_by_key(|route| route.prefix.len())
+        self.routes.iter().filter(matches).max_by_key(|route| route.prefix.len())
     }
 }
