--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes: host, longest prefix, splits.
+//! Routes: matching by host and longest prefix, and weighted splits.
 
 use std::{collections, time};
 
