--- a/crates/core/src/suspension.rs
+++ b/crates/core/src/suspension.rs
@@ -1,35 +1,36 @@
-//! Tells when a process was suspended, by two clocks that run apart.
+//! Detects that the process was suspended, from two clocks of which one stops meanwhile.
 
 use std::time;
 
 use crate::lease;
 
-/// Readings of both clocks at the last look.
+/// Readings of both clocks at the last check.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspension {
-    steady: time::Instant,
+    monotonic: time::Instant,
     boot: lease::BootTime,
 }
 
-/// Clocks that are read one after the other differ by less.
-const LEAST: time::Duration = time::Duration::from_millis(300);
+/// Shortest suspension that is reported; the clocks are read one after the other and differ by
+/// less than this without a suspension.
+const MIN_SUSPENSION: time::Duration = time::Duration::from_millis(300);
 
 impl Suspension {
-    /// Starts with the readings of the clock that stands still during a suspension and of the one
-    /// that does not.
-    pub fn new(steady: time::Instant, boot: lease::BootTime) -> Suspension {
-        Suspension { steady, boot }
+    /// Starts with a reading of the clock that stops during a suspension (`monotonic`) and of the
+    /// one that goes on (`boot`).
+    pub fn new(monotonic: time::Instant, boot: lease::BootTime) -> Suspension {
+        Suspension { monotonic, boot }
     }
 
-    /// Length of a suspension since the last look.
+    /// Returns the length of a suspension since the last check, if there was one.
     pub fn check(
         &mut self,
-        steady: time::Instant,
+        monotonic: time::Instant,
         boot: lease::BootTime,
     ) -> Option<time::Duration> {
-        let ran = steady.saturating_duration_since(self.steady);
+        let ran = monotonic.saturating_duration_since(self.monotonic);
         let passed = boot.saturating_sub(self.boot);
-        (self.steady, self.boot) = (steady, boot);
-        Some(passed.saturating_sub(ran)).filter(|suspended| *suspended >= LEAST)
+        (self.monotonic, self.boot) = (monotonic, boot);
+        Some(passed.saturating_sub(ran)).filter(|suspended| *suspended >= MIN_SUSPENSION)
     }
 }
