--- a/crates/core/tests/clocks.rs
+++ b/crates/core/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks that are set, and machines that are suspended.
+//! Suspended machines, and wall clocks that are set.
 
 use std::{fs, path, time};
 
@@ -7,10 +7,10 @@
 const MILLI: time::Duration = time::Duration::from_millis(1);
 
 #[test]
-fn suspended_noticed() {
+fn suspension_detected() {
     let (start, boot) = (time::Instant::now(), 5_000 * MILLI);
     let mut clocks = suspension::Suspension::new(start, boot);
-    // Time in both clocks, and the suspension that shows.
+    // Milliseconds that pass on each clock, and the suspension that is reported.
     let cases = [
         (200, 200, None),
         (5_000, 5_000, None),
@@ -20,15 +20,15 @@
         (200, 200, None),
     ];
     let (mut ran, mut passed) = (time::Duration::ZERO, boot);
-    for (steady, suspended, expected) in cases {
-        ran += steady * MILLI;
-        passed += suspended * MILLI;
+    for (monotonic, elapsed, expected) in cases {
+        ran += monotonic * MILLI;
+        passed += elapsed * MILLI;
         let found = clocks.check(start + ran, passed);
-        assert_eq!(found, expected.map(|millis: u32| millis * MILLI), "{steady} {suspended}");
+        assert_eq!(found, expected.map(|millis: u32| millis * MILLI), "{monotonic} {elapsed}");
     }
 }
 
-// A clock that is set forwards or back changes no decision, since none reads it.
+// A wall clock that is set forwards or back changes no decision, since none of them reads it.
 #[test]
 fn no_wall_clock() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -36,7 +36,7 @@
     for dir in ["crates/core/src", "crates/edge/src", "crates/wire/src", "platform/src"] {
         for entry in fs::read_dir(root.join(dir)).unwrap() {
             let path = entry.unwrap().path();
-            // Records that people read carry dates; nothing is decided by them.
+            // Dates go into records for people to read; no decision depends on them.
             if path.ends_with("edge/src/dates.rs") {
                 continue;
             }
