--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -1,7 +1,7 @@
-//! How many engines read prompts, and which one changes its stage.
+//! Balance between prefill and decode engines, and the choice of engines that change their stage.
 //!
-//! A request takes engine time at a prefill engine and, as a share of its memory, at a decode
-//! engine. A service carries most where both stages are as busy as each other.
+//! A request uses time of a prefill engine, and time of a decode engine in proportion to its share
+//! of the memory. The throughput of a service is highest when both stages are equally busy.
 
 use std::{collections, time};
 
@@ -9,21 +9,21 @@
 
 use crate::{fleet, ids};
 
-/// Engine time that requests have taken so far.
+/// Engine time that requests have used since the start of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Prompts read.
     pub prompts: u64,
-    /// Time of prefill engines.
+    /// Time used at prefill engines.
     pub prefill: time::Duration,
     /// Runs that have ended.
     pub runs: u64,
-    /// Time of decode engines, each run counted by its share of the memory.
+    /// Time used at decode engines, weighted by each run's share of the memory.
     pub decode: time::Duration,
 }
 
 impl Usage {
-    /// Sum of both.
+    /// Returns the sum of both usages.
     pub fn plus(&self, other: &Usage) -> Usage {
         Usage {
             prompts: self.prompts + other.prompts,
@@ -33,7 +33,8 @@
         }
     }
 
-    // Costs since `earlier`, where enough has ended since; an entry may have started anew.
+    // Costs since `earlier`; none with too few requests since then, or if an entry has restarted
+    // and its counts begin at zero again.
     fn costs_since(&self, earlier: &Usage) -> Option<Costs> {
         let prompts = self.prompts.checked_sub(earlier.prompts)?;
         let runs = self.runs.checked_sub(earlier.runs)?;
@@ -49,62 +50,63 @@
     }
 }
 
-/// Mean engine time that one request takes at each stage.
+/// Mean engine time of one request at each stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Costs {
-    /// Time of a prefill engine, in seconds.
+    /// Time at a prefill engine, in seconds.
     pub prefill: f64,
-    /// Time of a decode engine, in seconds of the whole engine.
+    /// Time at a decode engine, in seconds of the whole engine.
     pub decode: f64,
 }
 
 /// One engine that may change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Engine.
+    /// Name of the engine.
     pub id: ids::ServerName,
     /// Availability zone.
     pub zone: ids::ZoneName,
-    /// Stage, or the one that it changes to.
+    /// Its stage, or the one that it is changing to.
     pub stage: fleet::Stage,
     /// Whether it is changing its stage.
     pub is_changing: bool,
 }
 
-/// A change of stage to be ordered.
+/// A change of an engine's stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Engine.
+    /// Name of the engine.
     pub id: ids::ServerName,
     /// New stage.
     pub to: fleet::Stage,
 }
 
-/// Plans changes of stage, slowly.
+/// Plans changes of stage; acts only on an imbalance that lasts.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     history: collections::VecDeque<(time::Instant, Usage)>,
-    // Which stage is too large, and since when.
+    // Stage that has too many engines, and since when.
     surplus: Option<(fleet::Stage, time::Instant)>,
 }
 
-/// Requests that have ended before their means are relied on.
+/// Number of requests that a sample needs before its means are used.
 const MIN_SAMPLE: u64 = 60;
-/// Costs are means over this time: longer than one answer, shorter than a change of traffic.
-const SAMPLE_TIME: time::Duration = time::Duration::from_secs(12);
-/// Prefill engines beyond the balanced number: bursts bring up to twice the mean, and prompts
-/// that wait hold decode memory meanwhile. Of 1.3, 1.7 and 2.0 the one that served most on the
-/// users' larger sites (docs/POLICY.md).
+/// Window of the mean costs: longer than one answer, shorter than a change of traffic.
+const SAMPLE_WINDOW: time::Duration = time::Duration::from_secs(12);
+/// Factor on the balanced number of prefill engines: bursts reach twice the mean rate, and
+/// prompts that wait hold decode memory meanwhile. 1.7 served more requests than 1.3 or 2.0 on
+/// the users' larger sites (docs/POLICY.md).
 const PREFILL_MARGIN: f64 = 1.7;
-/// A surplus is acted on when it has lasted this long: longer than a clump, shorter than a burst.
-const PATIENCE: time::Duration = time::Duration::from_millis(1_500);
-/// The same where decode engines are too many.
-const RETURN_PATIENCE: time::Duration = time::Duration::from_secs(4);
-/// Decode engines become prefill engines only at a lack of this many: the way back costs twice
-/// the time of a change.
-const RETURN_LACK: usize = 2;
+/// Time that a surplus of prefill engines must last before engines change: longer than a cluster
+/// of requests, shorter than a burst.
+const PREFILL_SURPLUS_TIME: time::Duration = time::Duration::from_millis(1_500);
+/// Time that a surplus of decode engines must last before engines change.
+const DECODE_SURPLUS_TIME: time::Duration = time::Duration::from_secs(4);
+/// Shortage of prefill engines from which decode engines change to prefill: a change that has to
+/// be reversed costs twice the time.
+const MIN_PREFILL_SHORTAGE: usize = 2;
 
-/// Prefill engines that balance the stages of `count` engines.
+/// Number of prefill engines that balances the stages of `count` engines.
 pub fn balanced(costs: Costs, count: usize) -> usize {
     let share = costs.prefill / (costs.prefill + costs.decode).max(f64::MIN_POSITIVE);
     let wanted = (share * count as f64 * PREFILL_MARGIN).ceil() as usize;
@@ -112,12 +114,12 @@
 }
 
 impl Planner {
-    /// Mean costs of the last requests, once enough have ended.
+    /// Mean costs of the last requests; none until enough have ended.
     pub fn costs(&mut self, usage: Usage, now: time::Instant) -> Option<Costs> {
-        while self.history.get(1).is_some_and(|(at, _)| *at + SAMPLE_TIME <= now) {
+        while self.history.get(1).is_some_and(|(at, _)| *at + SAMPLE_WINDOW <= now) {
             self.history.pop_front();
         }
-        // At first only short runs have ended, beside long ones that are open.
+        // At first only short runs have ended, while long ones are still open.
         if self.history.is_empty() && usage.runs < MIN_SAMPLE {
             return None;
         }
@@ -129,7 +131,7 @@
         costs
     }
 
-    /// Changes to order now; `candidates` are the engines that do not leave.
+    /// Returns the changes to order now; `candidates` are the engines that are not leaving.
     pub fn plan(
         &mut self,
         costs: Costs,
@@ -140,7 +142,7 @@
         let wanted = balanced(costs, candidates.len());
         let (surplus, count) = if prefill > wanted {
             (fleet::Stage::Prefill, prefill - wanted)
-        } else if prefill + RETURN_LACK <= wanted {
+        } else if prefill + MIN_PREFILL_SHORTAGE <= wanted {
             (fleet::Stage::Decode, wanted - prefill)
         } else {
             self.surplus = None;
@@ -151,11 +153,11 @@
             _ => now,
         };
         self.surplus = Some((surplus, since));
-        let patience = match surplus {
-            fleet::Stage::Prefill => PATIENCE,
-            fleet::Stage::Decode => RETURN_PATIENCE,
+        let delay = match surplus {
+            fleet::Stage::Prefill => PREFILL_SURPLUS_TIME,
+            fleet::Stage::Decode => DECODE_SURPLUS_TIME,
         };
-        if now < since + patience {
+        if now < since + delay {
             return Vec::new();
         }
         self.surplus = None;
@@ -163,12 +165,12 @@
     }
 }
 
-// Takes engines from the zones that have most of the stage.
+// Chooses engines of stage `from`, each in the zone that has most of them left.
 fn choose(from: fleet::Stage, count: usize, candidates: &[Candidate]) -> Vec<Change> {
     let mut zones: collections::BTreeMap<&ids::ZoneName, Vec<&ids::ServerName>> =
         collections::BTreeMap::new();
-    let is_free = |one: &&Candidate| one.stage == from && !one.is_changing;
-    for candidate in candidates.iter().filter(is_free) {
+    let can_change = |candidate: &&Candidate| candidate.stage == from && !candidate.is_changing;
+    for candidate in candidates.iter().filter(can_change) {
         zones.entry(&candidate.zone).or_default().push(&candidate.id);
     }
     let to = from.other();
