--- a/crates/core/tests/stages.rs
+++ b/crates/core/tests/stages.rs
@@ -1,4 +1,4 @@
-//! Stages follow what requests take, slowly.
+//! Changes of stage: the balance, the delay before a change, and the sample of the costs.
 
 use std::time;
 
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn surplus_lasts_first() {
-    // Long answers: a third of the engines read prompts, less is enough.
+fn surplus_must_last() {
+    // With these costs 13 of 45 engines suffice for prefill, and 16 do it.
     let now = time::Instant::now();
     let mut planner = stages::Planner::default();
     assert!(planner.plan(COSTS, &candidates(16, 29), now).is_empty());
@@ -52,12 +52,15 @@
     for step in 0..40 {
         let later = now + step * 500 * MILLI;
         assert!(planner.plan(COSTS, &candidates(13, 32), later).is_empty());
-        assert!(planner.plan(COSTS, &candidates(12, 33), later).is_empty(), "one is no lack");
+        assert!(
+            planner.plan(COSTS, &candidates(12, 33), later).is_empty(),
+            "a shortage of one is tolerated"
+        );
     }
 }
 
 #[test]
-fn changing_not_taken() {
+fn changing_excluded() {
     let now = time::Instant::now();
     let mut planner = stages::Planner::default();
     let mut all = candidates(16, 29);
@@ -66,12 +69,12 @@
     }
     planner.plan(COSTS, &all, now);
     let changes = planner.plan(COSTS, &all, now + 2_000 * MILLI);
-    assert_eq!(changes.len(), 2, "only two are free to change: {changes:?}");
+    assert_eq!(changes.len(), 2, "only two can change: {changes:?}");
 }
 
 #[test]
-fn sample_first() {
-    // Runs that are open at the start would count as long ones.
+fn sample_required() {
+    // Guards against costs that include the time of runs that were open before the sample.
     let now = time::Instant::now();
     let mut planner = stages::Planner::default();
     let usage = |runs: u64| stages::Usage {
