--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,13 +1,13 @@
 //! A lease in the platform's store, as one candidate sees it.
 //!
-//! Times are of a clock that also counts suspension (`CLOCK_BOOTTIME`), since a frozen holder
-//! still believes in its lease.
+//! Times are read from a clock that goes on during a suspension (`CLOCK_BOOTTIME`), so that a
+//! holder that was suspended does not act on an expired lease.
 
 use std::time;
 
-/// Version of the lease's row; that of the newest write is the holder's fencing number.
+/// Version of the lease's row; the version of the newest write is the holder's fencing number.
 pub type Fence = u64;
-/// Time since the machine started, suspension included.
+/// Time since the machine started, suspensions included.
 pub type BootTime = time::Duration;
 
 /// One candidate's view of a lease.
@@ -28,22 +28,23 @@
 #[derive(Clone, Copy, Debug)]
 struct Held {
     fence: Fence,
-    // When the write that renewed it was sent.
+    // When the newest successful write was sent.
     renewed_at: BootTime,
 }
 
 /// The lease's row as it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row<'a> {
-    /// Version; 0 if there is none.
+    /// Version; 0 if there is no row.
     pub version: Fence,
-    /// Who wrote it.
+    /// Candidate that wrote it.
     pub holder: &'a str,
 }
 
-/// Part of the length after which the holder renews before it acts again.
+/// Share of the length after which the holder must renew the lease before it acts again.
 const VALID_SHARE: f64 = 0.4;
-/// Waited beyond the length before a lease is taken over: clocks run apart, writes travel.
+/// Time beyond the length before another candidate takes a lease over: clocks drift, and writes
+/// take time to arrive.
 const TAKEOVER_MARGIN: time::Duration = time::Duration::from_millis(500);
 
 impl Lease {
@@ -52,14 +53,15 @@
         Lease { holder, length, seen: None, held: None }
     }
 
-    /// Fencing number, while the lease is surely held.
+    /// Fencing number, while the lease is certainly held.
     pub fn fence(&self, now: BootTime) -> Option<Fence> {
         let valid = self.length.mul_f64(VALID_SHARE);
         let held = self.held.filter(|held| now < held.renewed_at + valid)?;
         Some(held.fence)
     }
 
-    /// Takes the row as read now; whether the candidate may write it, on this version.
+    /// Observes the row as read now; true if the candidate may write it, provided that the version
+    /// is unchanged.
     pub fn observe(&mut self, row: Row<'_>, now: BootTime) -> bool {
         if self.seen.as_ref().is_none_or(|seen| seen.version != row.version) {
             self.seen = Some(Seen { version: row.version, since: now });
@@ -72,13 +74,13 @@
         now >= since + self.length + TAKEOVER_MARGIN
     }
 
-    /// Notes that a write sent at `sent_at` made `fence` the row's version.
+    /// Records that a write sent at `sent_at` succeeded and made `fence` the row's version.
     pub fn acquired(&mut self, fence: Fence, sent_at: BootTime) {
         self.held = Some(Held { fence, renewed_at: sent_at });
         self.seen = Some(Seen { version: fence, since: sent_at });
     }
 
-    /// Notes that another holder was faster, or that a fencing number was refused.
+    /// Records that another candidate wrote first, or that the fencing number was refused.
     pub fn lost(&mut self) {
         self.held = None;
     }
