--- a/crates/core/tests/leases.rs
+++ b/crates/core/tests/leases.rs
@@ -1,4 +1,4 @@
-//! The lease of a duty: one holder, fences that grow, and holders that were frozen.
+//! Leases: a single holder, increasing fencing numbers, and holders that were suspended.
 
 mod random;
 
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn free_row() {
+fn absent_row() {
     let mut lease = candidate("a");
     assert!(lease.observe(lease::Row { version: 0, holder: "" }, at(0)));
     lease.acquired(7, at(1));
     assert_eq!(lease.fence(at(100)), Some(7));
-    assert_eq!(lease.fence(at(3_000)), None, "long before it can lapse");
+    assert_eq!(lease.fence(at(3_000)), None, "long before another candidate can take it over");
 }
 
 #[test]
-fn takeover_waits() {
+fn takeover_delayed() {
     let mut lease = candidate("b");
     let row = lease::Row { version: 7, holder: "a" };
     assert!(!lease.observe(row, at(0)));
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn frozen_holder() {
-    // The clock counts the freeze, so nothing is ordered on the old lease after the thaw.
+fn suspended_holder() {
+    // The clock goes on during the suspension, so the holder does not act on the old lease after it.
     let mut lease = candidate("a");
     lease.acquired(7, at(0));
     assert_eq!(lease.fence(at(4_000)), None);
@@ -59,8 +59,9 @@
 proptest! {
     #![proptest_config(random::config(256))]
 
-    // Candidates act at random, freeze, and lose answers; two of them never act within the
-    // length of the lease of one another, and fences only grow.
+    // Candidates act at random, are suspended, and lose the answers of their writes. Two of them
+    // never act within the lease's length of each other, less the 1.2 s for which a renewal lets
+    // its holder act, and fencing numbers never decrease.
     #[test]
     fn one_holder(steps in proptest::collection::vec((0usize..3, 0u64..1500, 0u8..4), 1..300)) {
         let names = ["a", "b", "c"];
@@ -76,7 +77,7 @@
                 if lease.observe(row, at(now)) {
                     version += 1;
                     holder = names[who].to_string();
-                    // The answer of the write may be lost.
+                    // The answer to the write may be lost.
                     if kind != 1 {
                         lease.acquired(version, at(now));
                     }
@@ -85,8 +86,8 @@
             let Some(fence) = lease.fence(at(now)) else { continue };
             if let Some((other, then, old)) = acted {
                 prop_assert!(fence >= old, "{fence} after {old}");
-                let is_turn = other != who;
-                prop_assert!(!is_turn || now >= then + LENGTH.as_millis() as u64 - 1_200,
+                let is_takeover = other != who;
+                prop_assert!(!is_takeover || now >= then + LENGTH.as_millis() as u64 - 1_200,
                     "{other} at {then}, {who} at {now}");
             }
             acted = Some((who, now, fence));
