--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Peers: order of datagrams, silence, and the number that shares the budgets.
+//! Peers: order of heartbeats, timeouts, and the number of entries that share the budgets.
 
 use std::{net, time};
 
@@ -11,31 +11,31 @@
 }
 
 #[test]
-fn old_datagrams() {
+fn stale_heartbeats() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
     assert!(members.record_heartbeat(ip(2), 1, 5, now));
-    assert!(!members.record_heartbeat(ip(2), 1, 5, now), "twice");
-    assert!(!members.record_heartbeat(ip(2), 1, 4, now), "overtaken");
+    assert!(!members.record_heartbeat(ip(2), 1, 5, now), "a duplicate");
+    assert!(!members.record_heartbeat(ip(2), 1, 4, now), "an older one");
     assert!(members.record_heartbeat(ip(2), 2, 1, now), "a new process");
 }
 
 #[test]
-fn silent_peers_spend() {
+fn unresponsive_peers_count() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
     for last in 2..6 {
         members.record_heartbeat(ip(last), 1, 1, now);
     }
     assert_eq!(members.count(now), 5);
-    let cut = now + 5 * SECOND;
-    assert_eq!(members.live(cut).count(), 0);
-    assert_eq!(members.count(cut), 5, "they may live behind a cut");
+    let later = now + 5 * SECOND;
+    assert_eq!(members.live(later).count(), 0);
+    assert_eq!(members.count(later), 5, "they may be live behind a network partition");
     assert_eq!(members.count(now + 30 * SECOND), 1);
 }
 
 #[test]
-fn hoped_until_heard() {
+fn candidates_expire() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
     members.add_candidate(ip(9), now);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn bounded_targets() {
+fn targets_bounded() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
     for last in 0..200 {
@@ -56,22 +56,22 @@
 }
 
 #[test]
-fn named_in_turn() {
+fn peers_announced() {
     let now = time::Instant::now();
     let mut members = members::Members::default();
     assert!(members.announced(1, now).is_empty());
     for last in 2..12 {
         members.record_heartbeat(ip(last), 1, 1, now);
     }
-    assert_eq!(members.announced(1, now).len(), 10, "a peer that joins hears of all");
+    assert_eq!(members.announced(1, now).len(), 10, "a peer that joins is sent all addresses");
     let later = now + 2 * SECOND;
     for last in 2..12 {
         members.record_heartbeat(ip(last), 1, 2, later);
     }
-    let turns: Vec<_> = (0..5).map(|seq| members.announced(seq, later)).collect();
-    assert!(turns.iter().all(|named| named.len() == 4));
-    let all: std::collections::BTreeSet<_> = turns.concat().into_iter().collect();
+    let messages: Vec<_> = (0..5).map(|seq| members.announced(seq, later)).collect();
+    assert!(messages.iter().all(|announced| announced.len() == 4));
+    let all: std::collections::BTreeSet<_> = messages.concat().into_iter().collect();
     assert_eq!(all.len(), 10);
     members.record_heartbeat(ip(3), 2, 1, later);
-    assert_eq!(members.announced(1, later).len(), 10, "a new process");
+    assert_eq!(members.announced(1, later).len(), 10, "a restarted peer");
 }
