--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are registered, and when one that is missing counts as gone.
+//! Registered backend servers, and the grace period for those whose registration is missing.
 
 use std::{collections, net, time};
 
@@ -32,43 +32,44 @@
     pub address: net::SocketAddr,
     /// Availability zone.
     pub zone: ids::ZoneName,
-    /// Requests that it works on at once.
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Stage, where it is a model engine.
+    /// Stage, if it is a model engine.
     pub stage: Option<Stage>,
-    /// Whether it has announced that it leaves.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// Start of its process in Unix milliseconds, where it says so.
+    /// Start of its process in Unix milliseconds, if registered.
     pub started_ms: Option<u64>,
 }
 
-/// What a change of the registry means for those who use the servers.
+/// Effect of a change of the registry on the set of servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A server may be used; what was known of an earlier process under its id is void.
+    /// A server may be used; the state of an earlier process with its id is obsolete.
     Joined(ids::ServerName),
-    /// A server's stage, address or count of orders changed.
+    /// A server's registration changed, for example its stage or address.
     Updated(ids::ServerName),
-    /// A server leaves and gets no new work.
+    /// A server is leaving and gets no new work.
     Leaving(ids::ServerName),
-    /// A server is gone.
+    /// A server was removed.
     Gone(ids::ServerName),
 }
 
-/// Registered servers as one process knows them.
+/// Registered servers, as one process knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     instances: collections::BTreeMap<ids::ServerName, Instance>,
-    // Entries that vanished around an outage of the registry, and when they count as gone.
+    // Servers whose registrations disappeared around an outage of the registry, and when they are
+    // removed.
     missing: collections::BTreeMap<ids::ServerName, time::Instant>,
-    lenient_until: Option<time::Instant>,
+    grace_until: Option<time::Instant>,
 }
 
-/// Time after the registry's return within which lapsed entries of live servers are back.
-const RETURN_TIME: time::Duration = time::Duration::from_millis(1_800);
+/// Time after the registry has recovered within which live servers renew expired registrations.
+const RECOVERY_GRACE: time::Duration = time::Duration::from_millis(1_800);
 
 impl Fleet {
-    /// All servers, by id.
+    /// All servers by id.
     pub fn instances(&self) -> &collections::BTreeMap<ids::ServerName, Instance> {
         &self.instances
     }
@@ -78,12 +79,12 @@
         self.instances.get(id)
     }
 
-    /// Notes that the registry answers again after an outage.
+    /// Records that the registry answers again after an outage.
     pub fn registry_recovered(&mut self, now: time::Instant) {
-        self.lenient_until = Some(now + RETURN_TIME);
+        self.grace_until = Some(now + RECOVERY_GRACE);
     }
 
-    /// Takes the newest entry of a server.
+    /// Sets the newest registration of a server.
     pub fn set(&mut self, id: &str, instance: Instance) -> Option<Change> {
         let was_missing = self.missing.remove(id).is_some();
         let old = self.instances.insert(id.to_string(), instance.clone());
@@ -101,31 +102,32 @@
         (old != instance || was_missing).then_some(Change::Updated(id))
     }
 
-    /// Takes the news that a server's entry cannot be read: it names no server to use.
+    /// Removes a server whose registration is invalid.
     pub fn set_invalid(&mut self, id: &str) -> Option<Change> {
         self.drop(id)
     }
 
-    /// Takes the news that a server has no entry.
+    /// Removes a server that has no registration, after a grace period if the registry has just
+    /// recovered.
     pub fn remove(&mut self, id: &str, now: time::Instant) -> Option<Change> {
         if !self.instances.contains_key(id) {
             return None;
         }
-        if let Some(until) = self.lenient_until.filter(|until| now < *until) {
+        if let Some(until) = self.grace_until.filter(|until| now < *until) {
             self.keep_until(id, until);
             return None;
         }
         self.drop(id)
     }
 
-    /// Takes the news that a server has no entry, but may have one again until `until`.
+    /// Keeps a server that has no registration until `until`, unless it registers again.
     pub fn keep_until(&mut self, id: &str, until: time::Instant) {
         if self.instances.contains_key(id) {
             self.missing.entry(id.to_string()).or_insert(until);
         }
     }
 
-    /// Servers whose entries vanished around an outage, and how long they are still waited for.
+    /// Servers without a registration that are kept, and the rest of their grace periods.
     pub fn missing(
         &self,
         now: time::Instant,
@@ -133,7 +135,7 @@
         self.missing.iter().map(move |(id, until)| (id, until.saturating_duration_since(now)))
     }
 
-    /// Drops the next server whose entry did not come back in time.
+    /// Removes the next server whose grace period has expired.
     pub fn next_expired(&mut self, now: time::Instant) -> Option<Change> {
         let due = self.missing.iter().find(|(_, until)| **until <= now);
         let id = due.map(|(id, _)| id.clone())?;
