--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Registered servers: lifetimes, leaving, and entries that lapse around an outage.
+//! Registered servers: restarts, leaving, and registrations that expire around an outage.
 
 use std::time;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn same_id_reborn() {
+fn restart_joins() {
     let mut fleet = fleet::Fleet::default();
     assert_eq!(fleet.set("i-1", instance(1, false)), Some(Change::Joined("i-1".into())));
     assert_eq!(fleet.set("i-1", instance(1, false)), None);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn other_service() {
+fn service_changed() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let moved = fleet::Instance { service: "board".into(), ..instance(1, false) };
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn gone_at_calm() {
+fn removed_at_once() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn lapsed_returns() {
+fn expired_renewed() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
@@ -62,22 +62,22 @@
     assert_eq!(fleet.remove("i-1", now + 10 * MILLI), None);
     assert_eq!(fleet.next_expired(now + 1_000 * MILLI), None);
     fleet.set("i-1", instance(1, false));
-    assert_eq!(fleet.next_expired(now + 5_000 * MILLI), None, "its entry is back");
+    assert_eq!(fleet.next_expired(now + 5_000 * MILLI), None, "its registration was renewed");
 }
 
 #[test]
-fn lapsed_stays_away() {
+fn expired_removed() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
     fleet.registry_recovered(now);
     assert_eq!(fleet.remove("i-1", now), None);
     let gone = fleet.next_expired(now + 2_000 * MILLI);
-    assert_eq!(gone, Some(Change::Gone("i-1".into())), "two seconds after the return");
+    assert_eq!(gone, Some(Change::Gone("i-1".into())), "two seconds after the recovery");
 }
 
 #[test]
-fn unreadable_at_once() {
+fn invalid_at_once() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     fleet.registry_recovered(time::Instant::now());
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn awaited_by_peer() {
+fn kept_for_peer() {
     let mut fleet = fleet::Fleet::default();
     fleet.set("i-1", instance(1, false));
     let now = time::Instant::now();
     fleet.keep_until("i-1", now + 500 * MILLI);
     fleet.keep_until("i-2", now + 500 * MILLI);
-    let awaited: Vec<_> = fleet.missing(now + 100 * MILLI).collect();
-    assert_eq!(awaited, [(&"i-1".to_string(), 400 * MILLI)], "only servers that are known");
+    let missing: Vec<_> = fleet.missing(now + 100 * MILLI).collect();
+    assert_eq!(missing, [(&"i-1".to_string(), 400 * MILLI)], "only known servers");
     assert_eq!(fleet.next_expired(now + 400 * MILLI), None);
     assert_eq!(fleet.next_expired(now + 600 * MILLI), Some(Change::Gone("i-1".into())));
 }
