--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -69,7 +69,7 @@
 /// Estimated use of an engine's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// Committed share of the memory that may be committed, in thousandths.
+    /// Committed share of the engine's capacity, in thousandths.
     pub fill: u32,
     /// Age of the oldest peer report that the estimate includes.
     pub age: time::Duration,
--- a/crates/core/src/engines.rs
+++ b/crates/core/src/engines.rs
@@ -49,13 +49,10 @@
 const PREFILL_STEP: time::Duration = time::Duration::from_millis(30);
 /// Wait that is added for a prefill engine in another availability zone.
 const REMOTE_PENALTY: time::Duration = time::Duration::from_millis(60);
-
 /// Window over which the rate of grants is counted: about half the duration of an answer.
 const GRANT_WINDOW: time::Duration = time::Duration::from_secs(2);
-
 /// Weight of one request in the moving average of the charge: about twenty requests count.
 const CHARGE_WEIGHT: f64 = 0.05;
-
 /// Weight of one answer in the moving average of the time per token.
 const TOKEN_TIME_WEIGHT: f64 = 0.05;
 
@@ -75,7 +72,7 @@
 }
 
 impl Engines {
-    /// Adds an engine, or updates its stage.
+    /// Adds or updates an engine.
     pub fn set(&mut self, id: &str, instance: &fleet::Instance, slots: u32, memory: u32) {
         let Some(stage) = instance.stage else { return };
         let new = || engine::Engine {
@@ -295,13 +292,13 @@
         wait.map(|wait| wait + prefill_time(tokens))
     }
 
-    /// Updates the mean time per token with an answer of `tokens` that took `took` from its first
-    /// token to its last, without its longest gap.
-    pub fn record_answer(&mut self, tokens: u64, took: time::Duration) {
+    /// Updates the mean time per token with an answer of `tokens`; `duration` is the time from
+    /// its first token to its last, without its longest gap.
+    pub fn record_answer(&mut self, tokens: u64, duration: time::Duration) {
         if tokens == 0 {
             return;
         }
-        let time = took.as_secs_f64() / tokens as f64;
+        let time = duration.as_secs_f64() / tokens as f64;
         let mean = self.token_time.unwrap_or(time);
         self.token_time = Some(mean + TOKEN_TIME_WEIGHT * (time - mean));
     }
