--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -13,15 +13,15 @@
     Granted,
     /// The request is queued; [`Slots::next_grant`] returns its run when a slot is free.
     Queued,
-    /// No slot is expected to be free in time.
+    /// The queue is full, no slot is expected to be free by the time given, or none is spare.
     Refused(Refusal),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Reservation {
-    since: time::Instant,
+    granted_at: time::Instant,
     work: time::Duration,
-    // The reservation is dropped then, unless it was claimed.
+    // When the reservation is dropped; none once it is claimed.
     expires_at: Option<time::Instant>,
 }
 
@@ -34,6 +34,7 @@
     held: collections::BTreeMap<ids::RunId, Reservation>,
     // Work by run, ordered by the time until which a grant is useful.
     waiting: collections::BTreeMap<(time::Instant, ids::RunId), time::Duration>,
+    // Mean time for which a claimed slot is held.
     mean_hold: time::Duration,
 }
 
@@ -108,7 +109,8 @@
     // Work of the held slots that is not done yet, assuming that it began with the oldest slot.
     fn remaining_work(&self, now: time::Instant) -> time::Duration {
         let total: time::Duration = self.held.values().map(|reservation| reservation.work).sum();
-        let oldest = self.held.values().map(|reservation| reservation.since).min().unwrap_or(now);
+        let oldest =
+            self.held.values().map(|reservation| reservation.granted_at).min().unwrap_or(now);
         total.saturating_sub(now.saturating_duration_since(oldest))
     }
 
@@ -119,7 +121,7 @@
 
     fn grant(&mut self, run: ids::RunId, work: time::Duration, now: time::Instant) {
         let expires_at = Some(now + self.hold);
-        self.held.insert(run, Reservation { since: now, work, expires_at });
+        self.held.insert(run, Reservation { granted_at: now, work, expires_at });
     }
 
     /// Claims the reservation of `run`, which then does not expire; false if it was dropped before.
@@ -128,8 +130,8 @@
         reservation.map(|reservation| reservation.expires_at = None).is_some()
     }
 
-    /// Requests a slot for a caller above its fair share; granted only while spare slots are left,
-    /// never queued.
+    /// Requests a slot for a caller above its fair share: granted only if more slots are free than
+    /// are kept for callers within theirs, never queued.
     pub fn request_spare(
         &mut self,
         run: ids::RunId,
@@ -151,7 +153,7 @@
         if let Some(reservation) = self.held.remove(&run)
             && reservation.expires_at.is_none()
         {
-            let held = now.saturating_duration_since(reservation.since);
+            let held = now.saturating_duration_since(reservation.granted_at);
             self.mean_hold = (self.mean_hold * (HOLD_DIVISOR - 1) + held) / HOLD_DIVISOR;
         }
     }
