--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -36,7 +36,7 @@
 /// Parameters of the health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// A server that stopped reporting this long ago is treated like an ejected one, if set.
+    /// Age of the last load report from which a server is treated like an ejected one, if set.
     pub suspect_after: Option<time::Duration>,
     /// Whether consecutive ejections double in length.
     pub backoff: bool,
@@ -216,7 +216,7 @@
                 server.ejections = 0;
             }
             ServerOutcome::Failure(Reason::Leaving) => server.leaving = true,
-            // The decode slot is reserved, so a result expires only where its prefill server fails to
+            // The decode slot is reserved, so a result expires only if its prefill server fails to
             // send it.
             ServerOutcome::Failure(Reason::Evicted) => server.eject(FAILURE_EJECTION, backoff, now),
             ServerOutcome::Failure(Reason::NoServer) => {
@@ -264,11 +264,11 @@
     pub fn pick(&self, criteria: Criteria<'_>, now: time::Instant) -> Option<ids::ServerName> {
         let usable = self.candidates(criteria.tried, |_| true, now);
         let count = usable.len();
-        let at = criteria.random as u32 as usize % count.max(1);
-        let first = usable.get(at)?;
+        let index = criteria.random as u32 as usize % count.max(1);
+        let first = usable.get(index)?;
         // A different server, unless there is only one.
         let step = 1 + (criteria.random >> 32) as usize % (count - 1).max(1);
-        let second = usable[(at + step) % count];
+        let second = usable[(index + step) % count];
         let score = |name: &ids::ServerName| self.score(name, criteria.by_work, now);
         let best = if score(second) < score(first) { second } else { first };
         let Some(prefix) = criteria.affinity else { return Some(best.clone()) };
