--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -189,7 +189,7 @@
     let mut engines = engines(1, 1);
     for run in 0..9 {
         let id = engines.reserve(position(now, run), NEED, any, 0, now).unwrap();
-        // Runs 0 to 3 generate no token; 2 and 3 hold memory for long while they wait for a prefill.
+        // Runs 0 to 3 generate no token; 2 and 3 hold memory for 3 s, as if waiting for a prefill.
         let stay = if run < 2 { 10 * MILLI } else { 3_000 * MILLI };
         if run >= 4 {
             engines.record_progress(&id, run, 1);
@@ -230,8 +230,8 @@
 
 #[test]
 fn answer_time_estimated() {
-    // The time of an answer is estimated from earlier ones, so that no run starts for a caller whose
-    // deadline ends before its answer does.
+    // The time of an answer is estimated from earlier ones, so that no run starts whose answer
+    // would not be complete before the caller's deadline.
     let mut engines = engines(1, 1);
     assert_eq!(engines.answer_time(700), time::Duration::ZERO, "no answer was recorded yet");
     engines.record_answer(1_000, 5_000 * MILLI);
