--- a/crates/core/tests/leases.rs
+++ b/crates/core/tests/leases.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn suspended_holder() {
-    // The clock goes on during the suspension, so the holder does not act on the old lease after it.
+    // The clock goes on during a suspension, so its holder does not act on the old lease after it.
     let mut lease = candidate("a");
     lease.acquired(7, at(0));
     assert_eq!(lease.fence(at(4_000)), None);
