--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -9,7 +9,7 @@
 
 use crate::{fleet, ids};
 
-/// Engine time that requests have used since the start of an entry.
+/// Engine time that requests have used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Prompts read.
