--- a/crates/core/tests/stages.rs
+++ b/crates/core/tests/stages.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn surplus_must_last() {
-    // With these costs 13 of 45 engines suffice for prefill, and 16 do it.
+    // Long answers: 13 of the 45 engines are enough for prefill, and 16 are in that stage.
     let now = time::Instant::now();
     let mut planner = stages::Planner::default();
     assert!(planner.plan(COSTS, &candidates(16, 29), now).is_empty());
