--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use rhubarb_core::{budget, fair, ids, pace, pool, rooms};
+use rhubarb_core::{budget, fair, ids, pace, pool, slots};
 
 use crate::{engine, event, policy};
 
@@ -16,7 +16,7 @@
 pub(crate) struct Server {
     pub(crate) name: ids::ServerName,
     pub(crate) zone: usize,
-    pub(crate) rooms: rooms::Rooms,
+    pub(crate) rooms: slots::Slots,
     pub(crate) engine: engine::Engine,
     pub(crate) pace: pace::Pace,
     pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
@@ -50,7 +50,7 @@
 pub(crate) fn make_pool(zone: usize, servers: &[Server], policy: &policy::Policy) -> pool::Pool {
     let tuning = pool::Tuning {
         suspect_after: policy.judge.then_some(SUSPECT_AFTER),
-        growing: policy.judge,
+        backoff: policy.judge,
     };
     let mut pool = pool::Pool::new(format!("zone-{zone}"));
     pool.set_tuning(tuning);
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp, collections, time};
 
-use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, rooms, usage};
+use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, slots, usage};
 
 use crate::{engine, event, frame, policy, random, request, score, server};
 
@@ -73,7 +73,7 @@
             Server {
                 name: format!("server-{number:02}"),
                 zone: number % frame::ZONES,
-                rooms: rooms::Rooms::new(rooms, QUEUE, RESERVATION),
+                rooms: slots::Slots::new(rooms, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
                 pace: pace::Pace::default(),
                 waiting: collections::BTreeMap::new(),
@@ -265,7 +265,7 @@
                     .then(|| ids::digest(&[&request.prefix.to_be_bytes()]));
                 let by_work = is_prefill && self.policy.work;
                 let tried = request.flow.tried();
-                let wish = pool::Wish { tried, affinity, random, by_work };
+                let wish = pool::Criteria { tried, affinity, random, by_work };
                 pool.pick(wish, self.now)?
             }
         };
@@ -274,7 +274,7 @@
         } else {
             time::Duration::ZERO
         };
-        pool.sent(&name, work);
+        pool.record_sent(&name, work);
         self.servers.iter().position(|server| server.name == name)
     }
 
@@ -282,27 +282,31 @@
         if self.requests[tag.request].attempt != tag.attempt || self.requests[tag.request].closed {
             return;
         }
-        let end = if self.policy.judge { pool::End::Open } else { pool::End::Good };
+        let end = if self.policy.judge {
+            pool::ServerOutcome::Unknown
+        } else {
+            pool::ServerOutcome::Success
+        };
         self.note_end(tag.request, true, end);
         self.tell(tag.request, &flow::Event::Prefilled);
     }
 
-    fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::End) {
+    fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::ServerOutcome) {
         let request = &mut self.requests[number];
         let server = if is_prefill { request.prefill.take() } else { request.decode.take() };
         let Some(server) = server else { return };
         let entry = &mut self.entries[request.entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
-        pool.ended(&self.servers[server].name, end, self.now);
+        pool.record_end(&self.servers[server].name, end, self.now);
     }
 
-    fn judge_source(&mut self, number: usize, end: pool::End) {
+    fn judge_source(&mut self, number: usize, end: pool::ServerOutcome) {
         if !self.policy.judge {
             return;
         }
         let request = &self.requests[number];
         let entry = &mut self.entries[request.entry];
-        entry.prefills.judge(&self.servers[request.source].name, end, self.now);
+        entry.prefills.record_outcome(&self.servers[request.source].name, end, self.now);
     }
 
     fn refused(&mut self, tag: Tag, at_prefill: bool, reason: Reason, ran: bool) {
@@ -321,9 +325,9 @@
         let entry = request.entry;
         let retry = is_left && self.entries[entry].budget.take(reason);
         self.requests[tag.request].refusal = Some(refusal);
-        self.note_end(tag.request, at_prefill, pool::End::Bad(reason));
+        self.note_end(tag.request, at_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
-            self.judge_source(tag.request, pool::End::Bad(reason));
+            self.judge_source(tag.request, pool::ServerOutcome::Failure(reason));
         }
         self.tell(tag.request, &flow::Event::Failed { server, refusal, retry });
     }
@@ -334,8 +338,8 @@
         for server in [request.decode, request.prefill].into_iter().flatten() {
             self.push(frame::HOP, Event::Cancel { tag, server });
         }
-        self.note_end(number, false, pool::End::Open);
-        self.note_end(number, true, pool::End::Open);
+        self.note_end(number, false, pool::ServerOutcome::Unknown);
+        self.note_end(number, true, pool::ServerOutcome::Unknown);
         let request = &mut self.requests[number];
         let unused = std::mem::take(&mut request.unused);
         let reason = request.refusal.map_or(Reason::CallerGone, |refusal| refusal.reason);
@@ -347,7 +351,7 @@
     }
 
     fn finish(&mut self, number: usize) {
-        self.note_end(number, false, pool::End::Good);
+        self.note_end(number, false, pool::ServerOutcome::Success);
         let request = &mut self.requests[number];
         request.closed = true;
         self.entries[request.entry].budget.deposit();
@@ -365,7 +369,7 @@
         let delay = if is_late { frame::HOP + LATE_BY } else { frame::HOP };
         if self.servers[server].is_there() {
             let load = self.servers[server].rooms.load(self.now);
-            let load = (load.rooms, load.held, load.waiting, load.queue_ms);
+            let load = (load.slots, load.held, load.waiting, load.queue_ms);
             self.push(delay, Event::Heard { entry, server, load });
         }
         self.push(REPORT_PERIOD, Event::Report { entry, server });
@@ -373,11 +377,11 @@
 
     fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
         let (rooms, held, waiting, queue_ms) = load;
-        let load = load::Load { rooms, held, waiting, queue_ms, leaving: false };
+        let load = load::Load { slots: rooms, held, waiting, queue_ms, leaving: false };
         let is_prefill = server < self.run.fleet.prefills;
         let entry = &mut self.entries[entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
-        pool.hear(&self.servers[server].name, load, self.now);
+        pool.update_load(&self.servers[server].name, load, self.now);
     }
 
     // --- agents ---
@@ -414,16 +418,16 @@
         let is_excess = request.share == fair::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
         let answer = if is_excess {
-            rooms.ask_spare(tag.run(), time::Duration::ZERO, self.now)
+            rooms.request_spare(tag.run(), time::Duration::ZERO, self.now)
         } else {
-            rooms.ask(tag.run(), wait_by, self.now)
+            rooms.request(tag.run(), wait_by, self.now)
         };
         match answer {
-            rooms::Answer::Granted => self.push(frame::HOP, Event::Granted { tag }),
-            rooms::Answer::Queued => {
+            slots::Answer::Granted => self.push(frame::HOP, Event::Granted { tag }),
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
             }
         }
@@ -446,16 +450,16 @@
         };
         let work = if self.policy.work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair::Share::Excess {
-            state.rooms.ask_spare(tag.run(), work, self.now)
+            state.rooms.request_spare(tag.run(), work, self.now)
         } else {
-            state.rooms.ask_for(tag.run(), work, start_by, self.now)
+            state.rooms.request_work(tag.run(), work, start_by, self.now)
         };
         match answer {
-            rooms::Answer::Granted => self.run_prefill(tag, server),
-            rooms::Answer::Queued => {
+            slots::Answer::Granted => self.run_prefill(tag, server),
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, true, refusal.reason, false, frame::HOP);
             }
         }
@@ -464,7 +468,7 @@
     fn run_prefill(&mut self, tag: Tag, server: usize) {
         let request = &mut self.requests[tag.request];
         let server_ref = &mut self.servers[server];
-        server_ref.rooms.take_up(tag.run());
+        server_ref.rooms.claim(tag.run());
         self.tally.prefilled(request.caller, request.prompt);
         request.unused = request.prompt;
         request.source = server;
@@ -490,21 +494,21 @@
         let done = self.start + time::Duration::from_millis(done_ms);
         let now = self.now;
         if self.policy.reserve {
-            if !self.servers[server].rooms.take_up(tag.run()) {
+            if !self.servers[server].rooms.claim(tag.run()) {
                 return self.refuse_later(tag, false, Reason::TooLate, false, frame::HOP);
             }
             return self.transfer(tag, server, done);
         }
         self.servers[server].done_at.insert(tag.run(), done);
-        match self.servers[server].rooms.ask(tag.run(), done + engine::KEEP_RESULT, now) {
-            rooms::Answer::Granted => {
-                self.servers[server].rooms.take_up(tag.run());
+        match self.servers[server].rooms.request(tag.run(), done + engine::KEEP_RESULT, now) {
+            slots::Answer::Granted => {
+                self.servers[server].rooms.claim(tag.run());
                 self.transfer(tag, server, done);
             }
-            rooms::Answer::Queued => {
+            slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
-            rooms::Answer::Refused(refusal) => {
+            slots::Answer::Refused(refusal) => {
                 self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
             }
         }
@@ -579,7 +583,7 @@
         request.first_at.get_or_insert(at);
         request.last_at = Some(at);
         if is_first {
-            self.judge_source(stream.request, pool::End::Good);
+            self.judge_source(stream.request, pool::ServerOutcome::Success);
         }
     }
 
@@ -617,7 +621,7 @@
                 self.push(frame::HOP, Event::Granted { tag });
             } else {
                 let done = self.servers[server].done_at[&run];
-                self.servers[server].rooms.take_up(run);
+                self.servers[server].rooms.claim(run);
                 self.transfer(tag, server, done);
             }
         }
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -34,7 +34,7 @@
         let config = self.edge.directory().config();
         let service = config.as_ref().and_then(|config| config.services.get(&call.service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        let life = engine.map_or(time::Duration::ZERO, |engine| engine.handle_life);
+        let life = engine.map_or(time::Duration::ZERO, |engine| engine.handle_ttl);
         self.read_at + life.mul_f64(USABLE_LIFE)
     }
 
@@ -129,7 +129,7 @@
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
         responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill not sent");
-            note_end(call, &target.id, pool::End::Bad(Reason::NoServer));
+            note_end(call, &target.id, pool::ServerOutcome::Failure(Reason::NoServer));
             return Read::Unsent(target.id);
         }
         responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
@@ -138,9 +138,10 @@
         }
         responder::WaitOutcome::Event(Ok(read)) => take(call, &target, &read),
     };
-    let end = result
-        .as_ref()
-        .map_or_else(|refusal| directory::bad_end(refusal.reason), |_| pool::End::Open);
+    let end = result.as_ref().map_or_else(
+        |refusal| directory::bad_end(refusal.reason),
+        |_| pool::ServerOutcome::Unknown,
+    );
     note_end(call, &target.id, end);
     match result {
         Ok(prefilled) => {
@@ -189,7 +190,7 @@
     let sound = service.pool.candidates(tried, is_prefill, now);
     let allowed = |id: &str| sound.iter().any(|other| *other == id);
     let (id, expected) = engines.pick_prefill(tokens, zone, allowed, rand::random(), now)?;
-    service.engines.prefill_sent(&id, tokens, now);
+    service.engines.record_prefill(&id, tokens, now);
     call.edge.given.notify_one();
     Some((directory.target(&id)?, expected))
 }
@@ -219,6 +220,6 @@
 }
 
 /// Notes what is known of a server of the call's service.
-pub(crate) fn note_end(call: &call::Call, server: &str, end: pool::End) {
-    call.edge.directory().service(&call.service).pool.judge(server, end, clock::now());
+pub(crate) fn note_end(call: &call::Call, server: &str, end: pool::ServerOutcome) {
+    call.edge.directory().service(&call.service).pool.record_outcome(server, end, clock::now());
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -113,9 +113,9 @@
         let late = self.call.returned;
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let own = engines::Engines::own_prefill(self.need.prompt);
+        let own = engines::Engines::decode_prefill_time(self.need.prompt);
         let prefill =
-            engines.prefill_wait(self.need.prompt, now).map_or(own, |apart| apart.min(own));
+            engines.shortest_prefill(self.need.prompt, now).map_or(own, |apart| apart.min(own));
         let target = self.call.route.target;
         let patience = if late { target.max(LATE_WAIT) } else { target };
         let due = self.call.arrived + patience;
@@ -181,8 +181,8 @@
     fn is_own_faster(&self) -> bool {
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let apart = engines.prefill_wait(self.need.prompt, clock::now());
-        apart.is_none_or(|apart| apart > engines::Engines::own_prefill(self.need.prompt))
+        let apart = engines.shortest_prefill(self.need.prompt, clock::now());
+        apart.is_none_or(|apart| apart > engines::Engines::decode_prefill_time(self.need.prompt))
     }
 
     fn decode_zone(&self) -> ids::ZoneName {
@@ -263,7 +263,9 @@
 
     fn judge(&mut self, server: &str, event: &flow::Event) {
         match event {
-            flow::Event::Ended => prefill::note_end(&self.call, server, pool::End::Good),
+            flow::Event::Ended => {
+                prefill::note_end(&self.call, server, pool::ServerOutcome::Success)
+            }
             flow::Event::Failed { refusal, .. } => {
                 prefill::note_end(&self.call, server, directory::bad_end(refusal.reason));
             }
@@ -286,7 +288,7 @@
         }
         if let Some(cache) = &mut self.cache {
             cache.set_taken();
-            prefill::note_end(&self.call, &cache.server, pool::End::Good);
+            prefill::note_end(&self.call, &cache.server, pool::ServerOutcome::Success);
         }
         if !answered.response.status().is_success() {
             return self.pass_failure(server, answered).await;
@@ -302,7 +304,7 @@
     ) -> flow::Event {
         exchange::read_whole(&self.call.edge.links, answered).await;
         if let Some(cache) = &self.cache {
-            let lapsed = pool::End::Bad(Reason::LostContact);
+            let lapsed = pool::ServerOutcome::Failure(Reason::LostContact);
             prefill::note_end(&self.call, &cache.server, lapsed);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
@@ -457,7 +459,7 @@
             // A pause says more of a fault than of the engines' pace.
             let took = (last - first).saturating_sub(self.longest_pause);
             let mut directory = call.edge.directory();
-            directory.service(&call.service).engines.learn_answer(tokens, took);
+            directory.service(&call.service).engines.record_answer(tokens, took);
         }
         call.account().add(|totals| {
             totals.count(Outcome::Answered, None);
@@ -465,7 +467,7 @@
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
             let between = (last - first).div_f64(gaps);
             let first = first - call.arrived;
-            let is_smooth = call.route.pause.is_none_or(|most| self.longest_pause <= most);
+            let is_smooth = call.route.max_gap.is_none_or(|most| self.longest_pause <= most);
             totals.answer(first, between, tokens, is_smooth && first <= call.route.target);
         });
     }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -37,7 +37,7 @@
 fn to_entry() -> Vec<message::ToEntry> {
     let run = ids::run_id(7, 9);
     let refusal = outcome::Refusal::never(outcome::Reason::NoRoom);
-    let load = load::Load { rooms: 20, held: 3, waiting: 1, queue_ms: 9, leaving: true };
+    let load = load::Load { slots: 20, held: 3, waiting: 1, queue_ms: 9, leaving: true };
     vec![
         message::ToEntry::Chunk(chunk::Chunk { run, offset: 3, bytes: b"piece".to_vec() }),
         message::ToEntry::Refused(message::Refused { run, refusal }),
