--- a/crates/e2e/benches/exchange.rs
+++ b/crates/e2e/benches/exchange.rs
@@ -6,7 +6,7 @@
 
 use hyper::Method;
 
-use rhubarb_e2e::{call, standin};
+use rhubarb_e2e::{call, site};
 
 /// Entries of a deployment.
 const COUNTS: [usize; 3] = [5, 24, 200];
@@ -27,8 +27,8 @@
     println!("| entries | load | streams/s | datagrams/s | bytes/s | processor |");
     println!("|---:|---|---:|---:|---:|---:|");
     for count in COUNTS {
-        let sizes = standin::Sizes { edges: count, prefill: 2, decode: 6, ..Default::default() };
-        let site = standin::Site::start(sizes).await?;
+        let sizes = site::Sizes { edges: count, prefill: 2, decode: 6, ..Default::default() };
+        let site = site::Site::start(sizes).await?;
         tokio::time::sleep(SETTLE).await;
         let before = sample(&site).await?;
         tokio::time::sleep(SPAN).await;
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-async fn sample(site: &standin::Site) -> anyhow::Result<Sample> {
+async fn sample(site: &site::Site) -> anyhow::Result<Sample> {
     let mut sum = Sample::default();
     for edge in &site.edges {
         sum.datagrams += edge.counter("rhubarb_edge_shares_sent_total").await?;
@@ -52,7 +52,7 @@
 }
 
 // Calls one stream after another on each of some tasks; returns how many were whole.
-async fn load(site: &standin::Site) -> usize {
+async fn load(site: &site::Site) -> usize {
     let until = time::Instant::now() + SPAN;
     let callers = (0..STREAMS).map(|caller| {
         let edges: Vec<_> = site.edges.iter().map(|edge| edge.callers).collect();
@@ -62,7 +62,7 @@
             let mut number = caller;
             while time::Instant::now() < until {
                 let attempt = format!("a{number}");
-                let path = standin::RESUMABLE;
+                let path = site::RESUMABLE;
                 let call = call::Call { path, attempt: &attempt, body: "body", headers: &[] };
                 let sent = call.send(&client, Method::POST, edges[number % edges.len()]).await;
                 whole += usize::from(sent.is_ok_and(|reply| reply.status == 200));
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -16,5 +16,5 @@
 pub mod edge;
 pub mod process;
 pub mod relay;
+pub mod site;
 pub mod stack;
-pub mod standin;
--- a/crates/e2e/tests/platform_reports.rs
+++ b/crates/e2e/tests/platform_reports.rs
@@ -6,18 +6,18 @@
 use rustix::process as signals;
 use serde_json::Value;
 
-use rhubarb_e2e::{process as programs, standin};
+use rhubarb_e2e::{process as programs, site};
 use rhubarb_fakes as fakes;
 use rhubarb_node::{client, clock};
 use rhubarb_platform::store;
 use rhubarb_report::merge;
 
 // The report of the last and the next hour.
-async fn report(site: &standin::Site) -> anyhow::Result<Value> {
+async fn report(site: &site::Site) -> anyhow::Result<Value> {
     report_with(site, &[]).await
 }
 
-async fn report_with(site: &standin::Site, options: &[&str]) -> anyhow::Result<Value> {
+async fn report_with(site: &site::Site, options: &[&str]) -> anyhow::Result<Value> {
     let now = clock::unix_ms();
     let mut command = process::Command::new(programs::program("rhubarb-report"));
     command
@@ -35,14 +35,14 @@
     rows.iter().find(|row| row["caller"] == route).unwrap_or(&Value::Null)
 }
 
-async fn stop(site: &mut standin::Site, edge: usize) {
+async fn stop(site: &mut site::Site, edge: usize) {
     site.edges[edge].signal(signals::Signal::TERM);
     while site.edges[edge].exit_code().is_none() {
         tokio::time::sleep(time::Duration::from_millis(20)).await;
     }
 }
 
-async fn calls(site: &standin::Site, edge: usize, path: &str, count: usize) -> [u64; 2] {
+async fn calls(site: &site::Site, edge: usize, path: &str, count: usize) -> [u64; 2] {
     let mut ends = [0, 0];
     for number in 0..count {
         let id = format!("{edge}-{}-{number}", path.len());
@@ -55,18 +55,18 @@
 
 #[tokio::test]
 async fn totals_agree() -> anyhow::Result<()> {
-    let sizes = standin::Sizes { edges: 2, ..standin::Sizes::default() };
-    let mut site = standin::Site::start(sizes).await?;
+    let sizes = site::Sizes { edges: 2, ..site::Sizes::default() };
+    let mut site = site::Site::start(sizes).await?;
     let mut answered = 0;
     for edge in [0, 1] {
-        answered += calls(&site, edge, standin::UNSAFE, 7).await[0];
-        calls(&site, edge, standin::RESUMABLE, 3).await;
+        answered += calls(&site, edge, site::UNSAFE, 7).await[0];
+        calls(&site, edge, site::RESUMABLE, 3).await;
     }
     for server in &site.plain {
         site.store.remove("servers", &server.id);
     }
     tokio::time::sleep(time::Duration::from_millis(500)).await;
-    let refused = calls(&site, 0, standin::UNSAFE, 4).await[1];
+    let refused = calls(&site, 0, site::UNSAFE, 4).await[1];
     for edge in [0, 1] {
         stop(&mut site, edge).await;
     }
@@ -85,8 +85,8 @@
 
 #[tokio::test]
 async fn old_removed() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
-    calls(&site, 0, standin::SAFE, 1).await;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
+    calls(&site, 0, site::SAFE, 1).await;
     stop(&mut site, 0).await;
     let now = clock::unix_ms();
     let (past, future) = ((now - 60_000).to_string(), (now + 60_000).to_string());
@@ -98,12 +98,12 @@
 
 #[tokio::test]
 async fn killed_named() -> anyhow::Result<()> {
-    let sizes = standin::Sizes { edges: 2, ..standin::Sizes::default() };
-    let mut site = standin::Site::start(sizes).await?;
-    calls(&site, 0, standin::SAFE, 5).await;
+    let sizes = site::Sizes { edges: 2, ..site::Sizes::default() };
+    let mut site = site::Site::start(sizes).await?;
+    calls(&site, 0, site::SAFE, 5).await;
     // The first record is written within 4.5 s of the start; what follows it is lost.
     tokio::time::sleep(time::Duration::from_millis(5_000)).await;
-    calls(&site, 0, standin::SAFE, 2).await;
+    calls(&site, 0, site::SAFE, 2).await;
     site.edges[0].kill();
     stop(&mut site, 1).await;
     let report = report(&site).await?;
@@ -116,7 +116,7 @@
 }
 
 // Gaps that a report names five minutes from now.
-async fn later_gaps(site: &standin::Site) -> anyhow::Result<Vec<merge::Gap>> {
+async fn later_gaps(site: &site::Site) -> anyhow::Result<Vec<merge::Gap>> {
     let records = store::Store::new(client::Client::new(), site.store_address()?);
     let limit = time::Duration::from_secs(1);
     let now = clock::unix_ms();
@@ -130,9 +130,9 @@
 
 #[tokio::test]
 async fn kept_over_outage() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     site.store.set_mode(fakes::store::Mode::Busy);
-    calls(&site, 0, standin::SAFE, 5).await;
+    calls(&site, 0, site::SAFE, 5).await;
     tokio::time::sleep(time::Duration::from_millis(5_000)).await;
     assert!(site.edges[0].log().contains("usage not stored"), "{}", site.edges[0].log());
     site.store.set_mode(fakes::store::Mode::Up);
--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -5,26 +5,26 @@
 use hyper::Method;
 use rustix::process::Signal;
 
-use rhubarb_e2e::standin;
+use rhubarb_e2e::site;
 use rhubarb_fakes::{backend, store};
 
 #[tokio::test]
 async fn nothing_cut() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     for plain in &site.plain {
         plain.set_fault(backend::Fault::None);
     }
     let edge = &site.edges[0];
-    let call = edge.call(Method::POST, standin::STREAM, "a1", "body");
+    let call = edge.call(Method::POST, site::STREAM, "a1", "body");
     let stop = async {
         tokio::time::sleep(time::Duration::from_millis(60)).await;
         edge.signal(Signal::TERM);
         tokio::time::sleep(time::Duration::from_millis(300)).await;
         assert!(!edge.is_ready().await, "the balancer is told at once");
-        edge.call(Method::POST, standin::UNSAFE, "a2", "body").await
+        edge.call(Method::POST, site::UNSAFE, "a2", "body").await
     };
     let (streamed, late) = tokio::join!(call, stop);
-    assert_eq!(streamed?.body, Some(standin::whole_stream()));
+    assert_eq!(streamed?.body, Some(site::whole_stream()));
     let late = late?;
     assert_eq!((late.status, &late.headers["connection"]), (200, &"close".parse()?));
     let start = time::Instant::now();
@@ -40,7 +40,7 @@
 // drained, wrote its last usage record was run and cut off.
 #[tokio::test]
 async fn taken_last() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     // The last record takes as long as it may, and so do answers.
     site.store.set_mode(store::Mode::Silent);
     for plain in &site.plain {
@@ -59,7 +59,7 @@
                 break;
             }
             let id = format!("{name}-{number}");
-            let reply = edge.call(Method::POST, standin::UNSAFE, &id, "b").await;
+            let reply = edge.call(Method::POST, site::UNSAFE, &id, "b").await;
             assert!(reply.is_ok() || site.runs(&id) == 0, "{id} ran and was cut off: {reply:?}");
             tokio::time::sleep(time::Duration::from_millis(1)).await;
         }
@@ -70,7 +70,7 @@
 
 #[tokio::test]
 async fn settings_again() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     let edge = &site.edges[0];
     edge.edit_settings("contract_params.budget_slack=560", "contract_params.budget_slack=many")?;
     edge.signal(Signal::HUP);
@@ -80,7 +80,7 @@
     // Without a signal too.
     tokio::time::sleep(time::Duration::from_millis(2_500)).await;
     assert!(edge.log().contains("settings read again and in force"));
-    let reply = edge.call(Method::POST, standin::UNSAFE, "a1", "body").await?;
+    let reply = edge.call(Method::POST, site::UNSAFE, "a1", "body").await?;
     assert_eq!(reply.status, 200);
     assert_eq!(site.edges[0].exit_code(), None);
     Ok(())
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -5,16 +5,16 @@
 use hyper::Method;
 use serde_json::json;
 
-use rhubarb_e2e::{relay, standin};
+use rhubarb_e2e::{relay, site};
 use rhubarb_fakes::{backend, store};
 
-async fn is_served(site: &standin::Site, edge: usize, path: &str) -> bool {
+async fn is_served(site: &site::Site, edge: usize, path: &str) -> bool {
     let attempt = format!("probe-{:?}", time::Instant::now());
     let reply = site.edges[edge].call(Method::POST, path, &attempt, "b").await;
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
-async fn served_within(site: &standin::Site, edge: usize, path: &str, limit: u64) -> bool {
+async fn served_within(site: &site::Site, edge: usize, path: &str, limit: u64) -> bool {
     let until = time::Instant::now() + time::Duration::from_millis(limit);
     while time::Instant::now() < until {
         if is_served(site, edge, path).await {
@@ -26,7 +26,7 @@
 }
 
 // A config with one more route.
-fn longer_config(site: &standin::Site, version: u64) -> String {
+fn longer_config(site: &site::Site, version: u64) -> String {
     let mut config = site.config(version);
     let mut route = config["routes"][0].clone();
     route["name"] = json!("added");
@@ -37,7 +37,7 @@
 
 #[tokio::test]
 async fn change_in_force() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     assert!(!is_served(&site, 0, "/added/x").await);
     site.store.put("op", "config", longer_config(&site, 5));
     assert!(served_within(&site, 0, "/added/x", 2_000).await);
@@ -49,7 +49,7 @@
 
 #[tokio::test]
 async fn history_gone() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.store.compact();
     site.store.put("op", "config", longer_config(&site, 5));
     assert!(served_within(&site, 0, "/added/x", 2_000).await);
@@ -58,11 +58,11 @@
 
 #[tokio::test]
 async fn outages_served() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     for mode in [store::Mode::Busy, store::Mode::Silent, store::Mode::Lost] {
         site.store.set_mode(mode);
         tokio::time::sleep(time::Duration::from_millis(300)).await;
-        assert!(is_served(&site, 0, standin::UNSAFE).await, "{mode:?}");
+        assert!(is_served(&site, 0, site::UNSAFE).await, "{mode:?}");
         assert!(site.edges[0].is_ready().await, "{mode:?}");
         site.store.set_mode(store::Mode::Up);
     }
@@ -73,35 +73,35 @@
 
 #[tokio::test]
 async fn away_at_start() -> anyhow::Result<()> {
-    let mut site = standin::Site::prepare(standin::Sizes::default()).await?;
+    let mut site = site::Site::prepare(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     site.add_edge().await?;
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     assert!(!site.edges[0].is_ready().await);
-    let reply = site.edges[0].call(Method::GET, standin::SAFE, "a1", "").await?;
+    let reply = site.edges[0].call(Method::GET, site::SAFE, "a1", "").await?;
     assert_eq!(reply.status, 503, "an entry without a config promises that nothing ran");
     site.store.set_mode(store::Mode::Up);
     site.wait_ready().await?;
-    assert!(is_served(&site, 0, standin::SAFE).await);
+    assert!(is_served(&site, 0, site::SAFE).await);
     Ok(())
 }
 
 #[tokio::test]
 async fn learned_from_peer() -> anyhow::Result<()> {
     // The second entry starts while the store answers nobody; the first one knows enough.
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     tokio::time::sleep(time::Duration::from_millis(300)).await;
     site.add_edge().await?;
     site.wait_ready().await?;
-    assert!(is_served(&site, 1, standin::UNSAFE).await);
+    assert!(is_served(&site, 1, site::UNSAFE).await);
     assert!(site.edges[1].log().contains("learned from peer"));
     Ok(())
 }
 
 #[tokio::test]
 async fn leaving_server() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     let text = site.store.get("servers", "i-plain-0").unwrap();
     let mut entry: serde_json::Value = serde_json::from_slice(&text)?;
     entry["state"] = json!("draining");
@@ -109,7 +109,7 @@
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     let before = site.plain[0].seen().len();
     for _ in 0..20 {
-        assert!(is_served(&site, 0, standin::SAFE).await);
+        assert!(is_served(&site, 0, site::SAFE).await);
     }
     // Answers tell a load; they do not make a leaving server usable again.
     assert_eq!(site.plain[0].seen().len(), before);
@@ -118,13 +118,13 @@
 
 #[tokio::test]
 async fn unreadable_entries() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.store.put("servers", "i-ghost", "not an entry");
     site.store.put("servers", "i-plain-1", json!({"service": "plain"}).to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     let before = site.plain[1].seen().len();
     for _ in 0..10 {
-        assert!(is_served(&site, 0, standin::SAFE).await, "the other entries hold");
+        assert!(is_served(&site, 0, site::SAFE).await, "the other entries hold");
     }
     assert_eq!(site.plain[1].seen().len(), before);
     assert!(site.edges[0].log().contains("entry not used"));
@@ -134,13 +134,13 @@
 #[tokio::test]
 async fn orders_fenced() -> anyhow::Result<()> {
     // Answers are short, and one engine reads all prompts: others change their stage.
-    let sizes = standin::Sizes { edges: 2, plain: 1, prefill: 1, decode: 9, relays: false };
-    let site = standin::Site::start(sizes).await?;
+    let sizes = site::Sizes { edges: 2, plain: 1, prefill: 1, decode: 9, relays: false };
+    let site = site::Site::start(sizes).await?;
     for round in 0..100 {
         let ids: Vec<_> = (0..4).map(|call| format!("a{round}-{call}")).collect();
         let call = |number: usize| {
             let edge = &site.edges[number % 2];
-            edge.call(Method::POST, standin::RESUMABLE, &ids[number], "b")
+            edge.call(Method::POST, site::RESUMABLE, &ids[number], "b")
         };
         let _ = tokio::join!(call(0), call(1), call(2), call(3));
         if site.decode.iter().any(|engine| engine.stage().0 == "prefill") {
@@ -154,10 +154,10 @@
 
 #[tokio::test]
 async fn reborn_server() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.plain[0].set_fault(backend::Fault::Moved);
     for _ in 0..4 {
-        is_served(&site, 0, standin::SAFE).await;
+        is_served(&site, 0, site::SAFE).await;
     }
     let text = site.store.get("servers", "i-plain-0").unwrap();
     let mut entry: serde_json::Value = serde_json::from_slice(&text)?;
@@ -167,7 +167,7 @@
     tokio::time::sleep(time::Duration::from_millis(300)).await;
     let before = site.plain[0].seen().len();
     for _ in 0..20 {
-        assert!(is_served(&site, 0, standin::SAFE).await);
+        assert!(is_served(&site, 0, site::SAFE).await);
     }
     assert!(site.plain[0].seen().len() > before, "what was known of the old process is void");
     Ok(())
@@ -177,11 +177,11 @@
 // seven seconds while its peers knew better.
 #[tokio::test]
 async fn silent_to_one() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     let relay = site.relay_store().await?;
     site.add_edge().await?;
     site.wait_ready().await?;
-    assert!(is_served(&site, 1, standin::UNSAFE).await);
+    assert!(is_served(&site, 1, site::UNSAFE).await);
     relay.set(relay::Mode::Hold, relay::Mode::Hold);
     site.store.remove("servers", "i-plain-1");
     site.store.put("op", "config", longer_config(&site, 5));
@@ -190,7 +190,7 @@
     assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
     let before = site.plain[1].seen().len();
     for _ in 0..10 {
-        assert!(is_served(&site, 1, standin::SAFE).await);
+        assert!(is_served(&site, 1, site::SAFE).await);
     }
     assert_eq!(site.plain[1].seen().len(), before, "a server that is gone is used");
     relay.set(relay::Mode::Pass, relay::Mode::Pass);
@@ -204,7 +204,7 @@
 // servers whose lapsed entries the peer still waited for.
 #[tokio::test]
 async fn lapsed_at_peer() -> anyhow::Result<()> {
-    let mut site = standin::Site::start(standin::Sizes::default()).await?;
+    let mut site = site::Site::start(site::Sizes::default()).await?;
     let relay = site.relay_store().await?;
     site.add_edge().await?;
     site.wait_ready().await?;
@@ -232,12 +232,7 @@
 }
 
 // Waits until the log of an entry has `text` on `count` lines.
-async fn wait_log(
-    site: &standin::Site,
-    edge: usize,
-    text: &str,
-    count: usize,
-) -> anyhow::Result<()> {
+async fn wait_log(site: &site::Site, edge: usize, text: &str, count: usize) -> anyhow::Result<()> {
     for _ in 0..100 {
         if site.edges[edge].log().matches(text).count() >= count {
             return Ok(());
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -4,12 +4,12 @@
 
 use hyper::Method;
 
-use rhubarb_e2e::standin;
+use rhubarb_e2e::site;
 use rhubarb_fakes::backend;
 
 use backend::Fault;
 
-async fn settled(site: &standin::Site) -> bool {
+async fn settled(site: &site::Site) -> bool {
     for _ in 0..60 {
         if site.kept() == 0 {
             return true;
@@ -21,10 +21,10 @@
 
 #[tokio::test]
 async fn whole_streams() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
-    for (attempt, path) in [("a1", standin::RESUMABLE), ("a2", standin::STREAM)] {
+    let site = site::Site::start(site::Sizes::default()).await?;
+    for (attempt, path) in [("a1", site::RESUMABLE), ("a2", site::STREAM)] {
         let reply = site.edges[0].call(Method::POST, path, attempt, "body").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())), "{path}");
+        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())), "{path}");
         assert_eq!(site.runs(attempt), 1);
     }
     let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.seen()).collect();
@@ -41,20 +41,20 @@
 
 // One decode engine has the fault; what the caller gets must be whole or visibly broken off.
 async fn meet(fault: Fault, is_served: bool) -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.decode[0].set_fault(fault);
     for number in 0..MOST_CALLS {
         if site.decode[0].faulted() >= MEETINGS {
             break;
         }
         let attempt = format!("r{number}");
-        let reply = site.edges[0].call(Method::POST, standin::RESUMABLE, &attempt, "b").await?;
-        let whole = (200, Some(standin::whole_stream()));
+        let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
+        let whole = (200, Some(site::whole_stream()));
         assert_eq!((reply.status, reply.body), whole, "{fault:?}");
         let attempt = format!("o{number}");
-        let reply = site.edges[0].call(Method::POST, standin::STREAM, &attempt, "b").await?;
+        let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "b").await?;
         assert!(site.runs(&attempt) <= 1, "{fault:?}: a request ran twice");
-        let is_whole = reply.body.as_deref() == Some(standin::whole_stream().as_str());
+        let is_whole = reply.body.as_deref() == Some(site::whole_stream().as_str());
         let is_broken = reply.body.is_none();
         let is_own = reply.is_own() && reply.status >= 500;
         assert!(is_whole || is_broken || is_own, "{fault:?}: {reply:?}");
@@ -81,11 +81,11 @@
 
 #[tokio::test]
 async fn no_memory_anywhere() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     for decode in &site.decode {
         decode.set_fault(Fault::Full);
     }
-    let reply = site.edges[0].call(Method::POST, standin::STREAM, "a1", "body").await?;
+    let reply = site.edges[0].call(Method::POST, site::STREAM, "a1", "body").await?;
     assert_eq!(reply.status, 503);
     assert!(reply.headers.contains_key("retry-after"), "{reply:?}");
     assert!(reply.taken < time::Duration::from_millis(600), "{:?}", reply.taken);
@@ -96,24 +96,24 @@
 
 #[tokio::test]
 async fn prefill_fails() -> anyhow::Result<()> {
-    let sizes = standin::Sizes { prefill: 2, ..standin::Sizes::default() };
-    let site = standin::Site::start(sizes).await?;
+    let sizes = site::Sizes { prefill: 2, ..site::Sizes::default() };
+    let site = site::Site::start(sizes).await?;
     for fault in [Fault::Sheds, Fault::Mute, Fault::Moved, Fault::Forgets] {
         site.prefill[0].set_fault(fault);
         let attempt = format!("a-{fault:?}");
-        let reply = site.edges[0].call(Method::POST, standin::STREAM, &attempt, "body").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())), "{fault:?}");
+        let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "body").await?;
+        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())), "{fault:?}");
     }
     Ok(())
 }
 
 #[tokio::test]
 async fn caller_gone() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     for decode in &site.decode {
         decode.set_fault(Fault::Stalls);
     }
-    let call = site.edges[0].call(Method::POST, standin::STREAM, "a1", "body");
+    let call = site.edges[0].call(Method::POST, site::STREAM, "a1", "body");
     assert!(tokio::time::timeout(time::Duration::from_millis(400), call).await.is_err());
     let start = time::Instant::now();
     assert!(settled(&site).await, "the engine still works for a caller that is gone");
@@ -124,11 +124,11 @@
 // Found by a hunt: a stream that stood still was ended although no other server could go on.
 #[tokio::test]
 async fn pause_without_room() -> anyhow::Result<()> {
-    let sizes = standin::Sizes { decode: 1, ..standin::Sizes::default() };
-    let site = standin::Site::start(sizes).await?;
+    let sizes = site::Sizes { decode: 1, ..site::Sizes::default() };
+    let site = site::Site::start(sizes).await?;
     site.decode[0].set_fault(Fault::Pauses);
-    let reply = site.edges[0].call(Method::POST, standin::RESUMABLE, "a1", "body").await?;
-    assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())));
+    let reply = site.edges[0].call(Method::POST, site::RESUMABLE, "a1", "body").await?;
+    assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())));
     assert_eq!(site.runs("a1"), 1);
     Ok(())
 }
@@ -136,13 +136,13 @@
 // Either half keeps events from coming twice, so each is looked at by itself.
 #[tokio::test]
 async fn resumed_once() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.decode[0].set_fault(Fault::CutsStream);
     site.decode[1].set_fault(Fault::StartsOver);
     for number in 0..MOST_CALLS {
         let attempt = format!("a{number}");
-        let reply = site.edges[0].call(Method::POST, standin::RESUMABLE, &attempt, "b").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())));
+        let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
+        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())));
         if site.runs(&attempt) == 2 {
             let seen = site.decode[1].seen();
             assert_eq!(seen.last().unwrap().headers["last-event-id"], "1");
@@ -155,17 +155,17 @@
 // A caller that leaves before its answer can be whole is told so at once, and nothing runs.
 #[tokio::test]
 async fn no_time_left() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     let edge = &site.edges[0];
     let size = ("x-token-usage", "100,6");
     for number in 0..3 {
         let id = format!("a{number}");
-        let reply = edge.call_with(Method::POST, standin::STREAM, &id, "b", &[size]).await?;
-        assert_eq!(reply.body, Some(standin::whole_stream()));
+        let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[size]).await?;
+        assert_eq!(reply.body, Some(site::whole_stream()));
     }
     // Six events take 80 ms from the first to the last, without one pause.
     let headers = [size, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
-    let reply = edge.call_with(Method::POST, standin::STREAM, "late", "b", &headers).await?;
+    let reply = edge.call_with(Method::POST, site::STREAM, "late", "b", &headers).await?;
     assert_eq!(reply.status, 503);
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(site.runs("late"), 0);
--- a/crates/e2e/tests/platform_survey.rs
+++ b/crates/e2e/tests/platform_survey.rs
@@ -4,10 +4,10 @@
 
 use serde_json::json;
 
-use rhubarb_e2e::{process as programs, standin};
+use rhubarb_e2e::{process as programs, site};
 use rhubarb_fakes::store;
 
-async fn ctl(site: &standin::Site, args: &[&str]) -> anyhow::Result<process::Output> {
+async fn ctl(site: &site::Site, args: &[&str]) -> anyhow::Result<process::Output> {
     let mut command = process::Command::new(programs::program("rhubarb-ctl"));
     command.args(args).args(["--store", &site.store_address()?.to_string()]);
     // The store that it reads is served by this process.
@@ -20,8 +20,8 @@
 
 #[tokio::test]
 async fn versions_shown() -> anyhow::Result<()> {
-    let sizes = standin::Sizes { edges: 2, ..standin::Sizes::default() };
-    let mut site = standin::Site::start(sizes).await?;
+    let sizes = site::Sizes { edges: 2, ..site::Sizes::default() };
+    let mut site = site::Site::start(sizes).await?;
     site.announce(&site.plain[1].clone(), "draining");
     site.store.put("servers", "i-ghost", "not an entry");
     site.edges[1].kill();
@@ -50,7 +50,7 @@
 
 #[tokio::test]
 async fn store_away() -> anyhow::Result<()> {
-    let site = standin::Site::start(standin::Sizes::default()).await?;
+    let site = site::Site::start(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     let output = ctl(&site, &["status"]).await?;
     assert_eq!(output.status.code(), Some(4));
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use rand::RngExt;
 
-use rhubarb_e2e::{call, standin};
+use rhubarb_e2e::{call, site};
 use rhubarb_node::{client, locks};
 
 use crate::record;
@@ -97,7 +97,7 @@
     edge: usize,
     version: u64,
 ) -> Option<record::Sight> {
-    let host = standin::version_host(version);
+    let host = site::version_host(version);
     let attempt = format!("look{}", shared.seq.fetch_add(1, atomic::Ordering::Relaxed));
     let headers = [("host", host.as_str())];
     let call = call::Call { path: "/", attempt: &attempt, body: "", headers: &headers };
--- a/crates/soak/src/hands.rs
+++ b/crates/soak/src/hands.rs
@@ -4,7 +4,7 @@
 
 use rustix::process::Signal;
 
-use rhubarb_e2e::{relay, standin};
+use rhubarb_e2e::{relay, site};
 use rhubarb_fakes::{backend, store};
 
 use crate::{callers, check, plan, record};
@@ -12,7 +12,7 @@
 /// A deployment and what has been done to it.
 #[derive(Debug)]
 pub(crate) struct Hands {
-    pub(crate) site: standin::Site,
+    pub(crate) site: site::Site,
     pub(crate) shared: sync::Arc<callers::Shared>,
     pub(crate) broken: Vec<check::Broken>,
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng, rngs};
 
-use rhubarb_e2e::standin;
+use rhubarb_e2e::site;
 use rhubarb_fakes::{backend, store};
 
 /// One change from outside.
@@ -65,7 +65,7 @@
     /// Time in which faults begin.
     pub length: time::Duration,
     /// Sizes of the deployment.
-    pub sizes: standin::Sizes,
+    pub sizes: site::Sizes,
     /// Callers that send requests one after another.
     pub callers: usize,
     /// Changes in their order.
@@ -110,7 +110,7 @@
     /// Draws the plan of `seed`, whose faults begin within `length`.
     pub fn draw(seed: u64, length: time::Duration) -> Plan {
         let mut random = rngs::StdRng::seed_from_u64(seed);
-        let sizes = standin::Sizes {
+        let sizes = site::Sizes {
             edges: random.random_range(2..5),
             plain: random.random_range(2..5),
             prefill: random.random_range(1..4),
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_e2e::{call, standin};
+use rhubarb_e2e::{call, site};
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,17 +24,17 @@
     /// Path of its requests.
     pub fn path(self) -> &'static str {
         match self {
-            Kind::Safe => standin::SAFE,
-            Kind::Unsafe => standin::UNSAFE,
-            Kind::Resumable => standin::RESUMABLE,
-            Kind::Stream => standin::STREAM,
+            Kind::Safe => site::SAFE,
+            Kind::Unsafe => site::UNSAFE,
+            Kind::Resumable => site::RESUMABLE,
+            Kind::Stream => site::STREAM,
         }
     }
 
     /// Most servers at which one request may run.
     pub fn most_runs(self) -> u32 {
         match self {
-            Kind::Safe | Kind::Resumable => standin::MAX_ATTEMPTS,
+            Kind::Safe | Kind::Resumable => site::MAX_ATTEMPTS,
             Kind::Unsafe | Kind::Stream => 1,
         }
     }
@@ -42,8 +42,8 @@
     /// Longest time to its answer.
     pub fn limit(self) -> time::Duration {
         match self {
-            Kind::Safe | Kind::Unsafe => standin::PLAIN_LIMIT,
-            Kind::Resumable | Kind::Stream => standin::STREAM_LIMIT,
+            Kind::Safe | Kind::Unsafe => site::PLAIN_LIMIT,
+            Kind::Resumable | Kind::Stream => site::STREAM_LIMIT,
         }
     }
 
@@ -51,7 +51,7 @@
     pub fn whole(self, body: &str) -> String {
         match self {
             Kind::Safe | Kind::Unsafe => body.to_string(),
-            Kind::Resumable | Kind::Stream => standin::whole_stream(),
+            Kind::Resumable | Kind::Stream => site::whole_stream(),
         }
     }
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, sync, sync::atomic, time};
 
-use rhubarb_e2e::{edge, standin};
+use rhubarb_e2e::{edge, site};
 use rhubarb_node::client;
 
 use crate::{callers, check, hands, plan, record};
@@ -42,7 +42,7 @@
 /// # Errors
 /// Returns an error if the deployment does not start.
 pub async fn play(plan: &plan::Plan) -> anyhow::Result<Report> {
-    let site = standin::Site::start(plan.sizes).await?;
+    let site = site::Site::start(plan.sizes).await?;
     let shared = sync::Arc::new(callers::Shared {
         log: sync::Mutex::default(),
         edges: site.edges.iter().map(|edge| edge.callers).collect(),
