--- a/crates/e2e/src/relay.rs
+++ b/crates/e2e/src/relay.rs
@@ -18,20 +18,20 @@
 pub enum Mode {
     /// Passes them on.
     #[default]
-    Pass,
+    Forward,
     /// Keeps them until the mode changes.
-    Hold,
+    Buffer,
 }
 
 /// Modes of both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Modes {
     /// From the entry to the agent.
-    pub orders: Mode,
+    pub to_agent: Mode,
     /// From the agent to the entry.
-    pub notices: Mode,
-    silences: u64,
-    cuts: u64,
+    pub to_entry: Mode,
+    blackholes: u64,
+    disconnects: u64,
 }
 
 /// A relay on a port of its own.
@@ -59,64 +59,64 @@
         tokio::spawn(async move {
             while let Ok((entry, _)) = listener.accept().await {
                 let Ok(agent) = tcp::TcpStream::connect(target).await else { continue };
-                spawn_pair(entry, agent, &shared);
+                relay_connection(entry, agent, &shared);
             }
         });
-        tokio::spawn(pass_datagrams(udp, target));
+        tokio::spawn(forward_datagrams(udp, target));
         Ok(Relay { address, modes })
     }
 
     /// Sets the modes of both directions.
-    pub fn set(&self, orders: Mode, notices: Mode) {
+    pub fn set_modes(&self, to_agent: Mode, to_entry: Mode) {
         self.modes.send_modify(|modes| {
-            modes.orders = orders;
-            modes.notices = notices;
+            modes.to_agent = to_agent;
+            modes.to_entry = to_entry;
         });
     }
 
     /// Makes open connections silent for good; new ones work.
-    pub fn silence(&self) {
-        self.modes.send_modify(|modes| modes.silences += 1);
+    pub fn blackhole(&self) {
+        self.modes.send_modify(|modes| modes.blackholes += 1);
     }
 
     /// Closes all open connections.
-    pub fn cut(&self) {
-        self.modes.send_modify(|modes| modes.cuts += 1);
+    pub fn disconnect(&self) {
+        self.modes.send_modify(|modes| modes.disconnects += 1);
     }
 }
 
 // Datagrams pass whatever the modes are.
-async fn pass_datagrams(socket: tcp::UdpSocket, target: net::SocketAddr) {
+async fn forward_datagrams(socket: tcp::UdpSocket, target: net::SocketAddr) {
     let socket = sync::Arc::new(socket);
     let mut entries = collections::BTreeMap::new();
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok((length, entry)) = socket.recv_from(&mut buffer).await {
-        let back = match entries.entry(entry) {
+        let upstream = match entries.entry(entry) {
             btree_map::Entry::Occupied(known) => known.into_mut(),
             btree_map::Entry::Vacant(slot) => {
                 let local = (net::Ipv4Addr::LOCALHOST, 0);
-                let Ok(back) = tcp::UdpSocket::bind(local).await else { return };
-                let back = sync::Arc::new(back);
-                tokio::spawn(pass_back(socket.clone(), back.clone(), entry));
-                slot.insert(back)
+                let Ok(upstream) = tcp::UdpSocket::bind(local).await else { return };
+                let upstream = sync::Arc::new(upstream);
+                tokio::spawn(forward_replies(socket.clone(), upstream.clone(), entry));
+                slot.insert(upstream)
             }
         };
-        let _ = back.send_to(&buffer[..length], target).await;
+        let _ = upstream.send_to(&buffer[..length], target).await;
     }
 }
 
-async fn pass_back(
+async fn forward_replies(
     socket: sync::Arc<tcp::UdpSocket>,
-    back: sync::Arc<tcp::UdpSocket>,
+    upstream: sync::Arc<tcp::UdpSocket>,
     entry: net::SocketAddr,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
-    while let Ok((length, _)) = back.recv_from(&mut buffer).await {
+    while let Ok((length, _)) = upstream.recv_from(&mut buffer).await {
         let _ = socket.send_to(&buffer[..length], entry).await;
     }
 }
 
-fn spawn_pair(
+fn relay_connection(
     entry: tcp::TcpStream,
     agent: tcp::TcpStream,
     modes: &sync::Arc<watch::Sender<Modes>>,
@@ -125,27 +125,27 @@
     let _ = agent.set_nodelay(true);
     let (entry_in, entry_out) = entry.into_split();
     let (agent_in, agent_out) = agent.into_split();
-    tokio::spawn(pump(entry_in, agent_out, modes.subscribe(), |modes| modes.orders));
-    tokio::spawn(pump(agent_in, entry_out, modes.subscribe(), |modes| modes.notices));
+    tokio::spawn(forward_stream(entry_in, agent_out, modes.subscribe(), |modes| modes.to_agent));
+    tokio::spawn(forward_stream(agent_in, entry_out, modes.subscribe(), |modes| modes.to_entry));
 }
 
-async fn pump(
+async fn forward_stream(
     mut from: tcp::tcp::OwnedReadHalf,
     mut to: tcp::tcp::OwnedWriteHalf,
     mut modes: watch::Receiver<Modes>,
-    pick: fn(&Modes) -> Mode,
+    mode_of: fn(&Modes) -> Mode,
 ) {
     let start = *modes.borrow_and_update();
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut held = Vec::new();
+    let mut buffered = Vec::new();
     loop {
         let now = *modes.borrow_and_update();
-        if now.cuts > start.cuts {
+        if now.disconnects > start.disconnects {
             return;
         }
-        let is_silent = now.silences > start.silences;
-        let may_pass = pick(&now) == Mode::Pass && !is_silent;
-        if may_pass && to.write_all(&std::mem::take(&mut held)).await.is_err() {
+        let is_blackholed = now.blackholes > start.blackholes;
+        let may_forward = mode_of(&now) == Mode::Forward && !is_blackholed;
+        if may_forward && to.write_all(&std::mem::take(&mut buffered)).await.is_err() {
             return;
         }
         tokio::select! {
@@ -159,7 +159,7 @@
                 if length == 0 {
                     return;
                 }
-                held.extend_from_slice(&buffer[..length]);
+                buffered.extend_from_slice(&buffer[..length]);
             }
         }
     }
--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -147,8 +147,8 @@
         let Some(address) = backend.address() else { return Ok(()) };
         let relay = relay::Relay::start(address).await?;
         if let Some(old) = self.relays.insert(backend.id.clone(), relay) {
-            old.cut();
-            old.set(relay::Mode::Hold, relay::Mode::Hold);
+            old.disconnect();
+            old.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
         }
         Ok(())
     }
--- a/crates/e2e/tests/once.rs
+++ b/crates/e2e/tests/once.rs
@@ -91,7 +91,7 @@
     let sent = key.clone();
     let call = tokio::spawn(async move { caller.confirm_slowly(&sent, 1500).await.unwrap() });
     stack.until("the key runs", async || stack.runs(&key).await == 1).await;
-    stack.relays["yard-3"].cut();
+    stack.relays["yard-3"].disconnect();
     let reply = call.await.unwrap();
     assert_eq!(reply.status, 200, "the run is resumed: {}", reply.body);
     assert_eq!(stack.runs(&key).await, 1);
@@ -119,11 +119,11 @@
     stack.caller(0).confirm(&stack.key_at("yard-1", "warm")).await.unwrap();
     // The order stays in the socket; the entry gives up, and it arrives afterwards.
     let key = stack.key_at("yard-1", "delayed");
-    stack.relays["yard-1"].set(relay::Mode::Hold, relay::Mode::Pass);
+    stack.relays["yard-1"].set_modes(relay::Mode::Buffer, relay::Mode::Forward);
     let reply = stack.caller(0).confirm(&key).await.unwrap();
     assert_ne!(reply.status, 200);
     let said_not_run = reply.outcome() == Some("not-run");
-    stack.relays["yard-1"].set(relay::Mode::Pass, relay::Mode::Pass);
+    stack.relays["yard-1"].set_modes(relay::Mode::Forward, relay::Mode::Forward);
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     let runs = stack.runs(&key).await;
     assert!(runs <= 1);
--- a/crates/e2e/tests/orphans.rs
+++ b/crates/e2e/tests/orphans.rs
@@ -40,7 +40,7 @@
 async fn entry_killed_silent() {
     stream_and(async |stack| {
         for relay in stack.relays.values() {
-            relay.silence();
+            relay.blackhole();
         }
         stack.entries[0].kill();
     })
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -182,7 +182,7 @@
     site.add_edge().await?;
     site.wait_ready().await?;
     assert!(is_served(&site, 1, site::UNSAFE).await);
-    relay.set(relay::Mode::Hold, relay::Mode::Hold);
+    relay.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
     site.store.remove("servers", "i-plain-1");
     site.store.put("op", "config", longer_config(&site, 5));
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
@@ -193,7 +193,7 @@
         assert!(is_served(&site, 1, site::SAFE).await);
     }
     assert_eq!(site.plain[1].seen().len(), before, "a server that is gone is used");
-    relay.set(relay::Mode::Pass, relay::Mode::Pass);
+    relay.set_modes(relay::Mode::Forward, relay::Mode::Forward);
     site.store.put("op", "config", site.config(9).to_string());
     tokio::time::sleep(time::Duration::from_millis(3_000)).await;
     assert!(!is_served(&site, 1, "/added/x").await, "the store is followed again");
@@ -208,7 +208,7 @@
     let relay = site.relay_store().await?;
     site.add_edge().await?;
     site.wait_ready().await?;
-    relay.set(relay::Mode::Hold, relay::Mode::Hold);
+    relay.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
     site.store.put("op", "config", longer_config(&site, 5));
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
 
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -38,7 +38,7 @@
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     let first = stream.next().await.unwrap().unwrap();
     for relay in stack.relays.values() {
-        relay.cut();
+        relay.disconnect();
     }
     let rest = stream.rest().await.unwrap();
     assert!(first.contains(&tokens::token("long summary", 0)));
@@ -52,7 +52,7 @@
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
     for relay in stack.relays.values() {
-        relay.silence();
+        relay.blackhole();
     }
     let rest = stream.rest().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
@@ -64,7 +64,7 @@
     let stack = stack::Stack::start(with_relays()).await.unwrap();
     stack.caller(0).complete("first", 8).await.unwrap();
     for relay in stack.relays.values() {
-        relay.silence();
+        relay.blackhole();
     }
     let reply = stack.caller(0).complete("second", 8).await.unwrap();
     assert_eq!(reply.text(), tokens::answer("second", 8), "{}", reply.body);
@@ -139,10 +139,10 @@
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
     for relay in stack.relays.values() {
-        relay.cut();
+        relay.disconnect();
     }
     for relay in stack.relays.values() {
-        relay.silence();
+        relay.blackhole();
     }
     let server = decoding(&stack).await;
     stack.agents.get_mut(&server).unwrap().kill();
--- a/crates/soak/src/hands.rs
+++ b/crates/soak/src/hands.rs
@@ -53,7 +53,7 @@
             plan::Change::Rebirth(number) => {
                 let server = self.site.servers()[number].clone();
                 server.restart();
-                self.site.relays[&server.id].cut();
+                self.site.relays[&server.id].disconnect();
                 self.site.announce(&server, "ready");
             }
             plan::Change::Move(number) => {
@@ -73,11 +73,11 @@
         match change {
             plan::Change::Server(number, fault) => server(number).set_fault(fault),
             plan::Change::Hold(number, is_held) => {
-                let mode = if is_held { relay::Mode::Hold } else { relay::Mode::Pass };
-                relay(number).set(mode, mode);
+                let mode = if is_held { relay::Mode::Buffer } else { relay::Mode::Forward };
+                relay(number).set_modes(mode, mode);
             }
-            plan::Change::Cut(number) => relay(number).cut(),
-            plan::Change::Silence(number) => relay(number).silence(),
+            plan::Change::Cut(number) => relay(number).disconnect(),
+            plan::Change::Silence(number) => relay(number).blackhole(),
             plan::Change::Leaving(number, is_leaving) => {
                 let state = if is_leaving { "draining" } else { "ready" };
                 self.site.announce(server(number), state);
