--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -20,25 +20,25 @@
     /// Whether entries reach the agents through relays.
     pub relays: bool,
     /// Time between two usage records.
-    pub flush: String,
+    pub flush_interval: String,
     /// Most bytes of answers that an agent keeps.
-    pub answers: usize,
+    pub answer_bytes: usize,
 }
 
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
             entries: 2,
-            list: list("10m", "60s"),
+            list: service_list("10m", "60s"),
             relays: false,
-            flush: "1s".to_string(),
-            answers: 1 << 20,
+            flush_interval: "1s".to_string(),
+            answer_bytes: 1 << 20,
         }
     }
 }
 
 /// The demo's list with another retry window and longest deadline.
-pub fn list(window: &str, deadline: &str) -> String {
+pub fn service_list(window: &str, deadline: &str) -> String {
     include_str!("../../../examples/list.ini").replace("10m", window).replace("60s", deadline)
 }
 
@@ -58,13 +58,13 @@
     client: client::Client,
 }
 
-const KEY: &str = "demo-caller-key";
-const LIMIT: time::Duration = time::Duration::from_secs(10);
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
-const STEP: time::Duration = time::Duration::from_millis(10);
+const CALLER_KEY: &str = "demo-caller-key";
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 const ZONES: [&str; 3] = ["sfax-hall-a", "sfax-hall-b", "sfax-port"];
-const ENGINES: [&str; 4] = ["prefill-1", "prefill-2", "decode-1", "decode-2"];
-const PLAINS: [&str; 3] = ["yard-1", "yard-2", "yard-3"];
+const ENGINE_SERVERS: [&str; 4] = ["prefill-1", "prefill-2", "decode-1", "decode-2"];
+const PLAIN_SERVERS: [&str; 3] = ["yard-1", "yard-2", "yard-3"];
 
 impl Stack {
     /// Starts everything and waits until it is ready.
@@ -97,7 +97,7 @@
             plan,
             dir,
         };
-        for server in ENGINES.iter().chain(&PLAINS) {
+        for server in ENGINE_SERVERS.iter().chain(&PLAIN_SERVERS) {
             stack.start_agent(server).await?;
         }
         for _ in 0..stack.plan.entries {
@@ -110,45 +110,45 @@
     pub async fn wait_ready(&self) {
         let all = self.entries.iter().chain(self.agents.values());
         for address in all.map(|process| process.http) {
-            self.until("all are ready", async || self.is_ready(address).await).await;
+            self.wait_until("all are ready", async || self.is_ready(address).await).await;
         }
     }
 
     /// Waits until every agent is ready.
     pub async fn wait_agents(&self) {
         for address in self.agents.values().map(|process| process.http) {
-            self.until("all agents are ready", async || self.is_ready(address).await).await;
+            self.wait_until("all agents are ready", async || self.is_ready(address).await).await;
         }
     }
 
     /// Waits until every entry can use all servers.
     pub async fn wait_usable(&self) {
-        let count = ENGINES.len() + PLAINS.len();
+        let count = ENGINE_SERVERS.len() + PLAIN_SERVERS.len();
         for address in self.entries.iter().map(|entry| entry.http) {
             let usable = async || self.status(address).await["usable"] == count;
-            self.until("all servers are usable", usable).await;
+            self.wait_until("all servers are usable", usable).await;
         }
     }
 
     /// Stops the agent of `server` in order and waits for its end.
     pub async fn stop_agent(&mut self, server: &str) {
         self.agents[server].terminate();
-        self.wait_exit_agent(server).await;
+        self.wait_agent_exit(server).await;
     }
 
     /// Exit code of the agent of `server`, once it has ended.
-    pub async fn wait_exit_agent(&mut self, server: &str) -> i32 {
+    pub async fn wait_agent_exit(&mut self, server: &str) -> i32 {
         wait_exit(self.agents.get_mut(server).expect("the agent was started")).await
     }
 
     /// Exit code of an entry, once it has ended.
-    pub async fn wait_exit_entry(&mut self, entry: usize) -> i32 {
+    pub async fn wait_entry_exit(&mut self, entry: usize) -> i32 {
         wait_exit(&mut self.entries[entry]).await
     }
 
     async fn is_ready(&self, address: net::SocketAddr) -> bool {
         let url = format!("http://{address}/readyz");
-        self.client.get(&url, LIMIT).await.is_ok_and(|reply| reply.status == 200)
+        self.client.get(&url, REQUEST_TIMEOUT).await.is_ok_and(|reply| reply.status == 200)
     }
 
     /// Starts the agent of `server`, in place of an earlier one, and registers it.
@@ -160,8 +160,8 @@
         let kind = if server.starts_with("yard") { "plain" } else { "engine" };
         let zone = zone_of(server);
         let engine = format!("http://{}/{kind}/{server}", self.fakes.http);
-        let answers = self.plan.answers.to_string();
-        let settings = self.settings(
+        let answers = self.plan.answer_bytes.to_string();
+        let settings = self.render_settings(
             include_str!("../../../examples/agent.ini"),
             &[
                 ("server", server),
@@ -173,7 +173,7 @@
                 ("max_answers", &answers),
             ],
         );
-        let path = self.write(&format!("{server}.ini"), &settings)?;
+        let path = self.write_file(&format!("{server}.ini"), &settings)?;
         let log = self.dir.join(format!("{server}.log"));
         let agent = process::Process::start("rhubarb-agent", &["--settings", &path], &log)?;
         let mut peer = agent.peer.unwrap_or(agent.http);
@@ -196,8 +196,8 @@
         let zone = ZONES[self.entries.len() % ZONES.len()];
         let seed = self.agents.get("yard-1").and_then(|agent| agent.peer);
         let seeds = seed.map(|seed| seed.to_string()).unwrap_or_default();
-        let flush = self.plan.flush.clone();
-        let settings = self.settings(
+        let flush = self.plan.flush_interval.clone();
+        let settings = self.render_settings(
             include_str!("../../../examples/entry.ini"),
             &[
                 ("name", &name),
@@ -208,7 +208,7 @@
                 ("seeds", &seeds),
             ],
         );
-        let path = self.write(&format!("{name}.ini"), &settings)?;
+        let path = self.write_file(&format!("{name}.ini"), &settings)?;
         let log = self.dir.join(format!("{name}.log"));
         let entry = process::Process::start("rhubarb-entry", &["--settings", &path], &log)?;
         self.register(&name, "entry", zone, entry.http, entry.http).await?;
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    fn settings(&self, example: &str, fields: &[(&str, &str)]) -> String {
+    fn render_settings(&self, example: &str, fields: &[(&str, &str)]) -> String {
         let platform = self.fakes.http.to_string();
         let mut text = String::new();
         for line in example.replace("127.0.0.1:9000", &platform).lines() {
@@ -229,7 +229,7 @@
         text
     }
 
-    fn write(&self, name: &str, text: &str) -> anyhow::Result<String> {
+    fn write_file(&self, name: &str, text: &str) -> anyhow::Result<String> {
         let path = self.dir.join(name);
         fs::write(&path, text)?;
         Ok(path.to_string_lossy().into_owned())
@@ -255,7 +255,7 @@
             "http": http,
             "state": "live",
         });
-        self.ask(Method::PUT, &format!("/instances/{name}"), &row.to_string()).await?;
+        self.control(Method::PUT, &format!("/instances/{name}"), &row.to_string()).await?;
         Ok(())
     }
 
@@ -273,7 +273,7 @@
             "http": agent.http,
             "state": "leaving",
         });
-        self.ask(Method::PUT, &format!("/instances/{server}"), &row.to_string()).await?;
+        self.control(Method::PUT, &format!("/instances/{server}"), &row.to_string()).await?;
         Ok(())
     }
 
@@ -282,7 +282,7 @@
     /// # Errors
     /// Returns an error if the stand-in does not answer.
     pub async fn unregister(&self, name: &str) -> anyhow::Result<()> {
-        self.ask(Method::DELETE, &format!("/instances/{name}"), "").await?;
+        self.control(Method::DELETE, &format!("/instances/{name}"), "").await?;
         Ok(())
     }
 
@@ -291,35 +291,35 @@
     /// # Errors
     /// Returns an error if the stand-in does not answer.
     pub async fn switch(&self, target: &str, mode: &str) -> anyhow::Result<()> {
-        self.ask(Method::POST, "/switch", &format!("{target} {mode}")).await?;
+        self.control(Method::POST, "/switch", &format!("{target} {mode}")).await?;
         Ok(())
     }
 
     /// Runs of an idempotency key at the backend servers.
     pub async fn runs(&self, key: &str) -> u64 {
-        self.number(&format!("/runs/{key}")).await
+        self.control_count(&format!("/runs/{key}")).await
     }
 
     /// Requests that engine memory holds.
-    pub async fn held(&self) -> u64 {
-        self.number("/held").await
+    pub async fn requests_in_memory(&self) -> u64 {
+        self.control_count("/held").await
     }
 
-    async fn number(&self, path: &str) -> u64 {
-        let reply = self.ask(Method::GET, path, "").await.expect("the stand-ins answer");
+    async fn control_count(&self, path: &str) -> u64 {
+        let reply = self.control(Method::GET, path, "").await.expect("the stand-ins answer");
         reply.parse().expect("a bare number")
     }
 
-    async fn ask(&self, method: Method, path: &str, content: &str) -> anyhow::Result<String> {
+    async fn control(&self, method: Method, path: &str, content: &str) -> anyhow::Result<String> {
         let url = format!("http://{}{path}", self.fakes.http);
         let request = client::request(method, &url, Bytes::from(content.to_string()))?;
-        let reply = self.client.fetch(request, LIMIT).await?;
+        let reply = self.client.fetch(request, REQUEST_TIMEOUT).await?;
         Ok(String::from_utf8_lossy(&reply.body).into_owned())
     }
 
     /// State of a process, as its `/status` shows it.
     pub async fn status(&self, address: net::SocketAddr) -> serde_json::Value {
-        let reply = self.client.get(&format!("http://{address}/status"), LIMIT).await;
+        let reply = self.client.get(&format!("http://{address}/status"), REQUEST_TIMEOUT).await;
         reply
             .map(|reply| serde_json::from_slice(&reply.body).unwrap_or_default())
             .unwrap_or_default()
@@ -327,7 +327,7 @@
 
     /// Metrics of a process.
     pub async fn metrics(&self, address: net::SocketAddr) -> String {
-        let reply = self.client.get(&format!("http://{address}/metrics"), LIMIT).await;
+        let reply = self.client.get(&format!("http://{address}/metrics"), REQUEST_TIMEOUT).await;
         reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned()).unwrap_or_default()
     }
 
@@ -336,7 +336,7 @@
     /// # Errors
     /// Returns what the command printed if it failed.
     pub fn apply(&self, text: &str, expect: u64) -> anyhow::Result<String> {
-        let list = self.write("list.ini", text)?;
+        let list = self.write_file("list.ini", text)?;
         self.ctl(&["apply", "--expect", &expect.to_string(), &list])
     }
 
@@ -345,14 +345,14 @@
     /// # Errors
     /// Returns the exit code and what the command printed if it failed.
     pub fn ctl(&self, args: &[&str]) -> anyhow::Result<String> {
-        let settings = self.settings(include_str!("../../../examples/ctl.ini"), &[]);
-        let path = self.write("ctl.ini", &settings)?;
+        let settings = self.render_settings(include_str!("../../../examples/ctl.ini"), &[]);
+        let path = self.write_file("ctl.ini", &settings)?;
         let output = os::Command::new(process::program("rhubarb-ctl"))
             .arg(args[0])
             .args(["--settings", &path])
             .args(&args[1..])
             .output()?;
-        finish(&output)
+        checked_stdout(&output)
     }
 
     /// Report of the last and the next hour.
@@ -360,34 +360,34 @@
     /// # Errors
     /// Returns what the command printed if it failed.
     pub fn report(&self) -> anyhow::Result<serde_json::Value> {
-        let settings = self.settings(include_str!("../../../examples/ctl.ini"), &[]);
-        let path = self.write("report.ini", &settings)?;
+        let settings = self.render_settings(include_str!("../../../examples/ctl.ini"), &[]);
+        let path = self.write_file("report.ini", &settings)?;
         let now = rhubarb_node::clock::unix_ms();
         let (from, to) = (now - 3_600_000, now + 3_600_000);
         let output = os::Command::new(process::program("rhubarb-report"))
             .args(["--settings", &path, "--format", "json"])
             .args(["--from", &from.to_string(), "--to", &to.to_string()])
             .output()?;
-        Ok(serde_json::from_str(&finish(&output)?)?)
+        Ok(serde_json::from_str(&checked_stdout(&output)?)?)
     }
 
     /// Caller of an entry.
     pub fn caller(&self, entry: usize) -> caller::Caller {
-        caller::Caller::new(self.entries[entry].http, KEY)
+        caller::Caller::new(self.entries[entry].http, CALLER_KEY)
     }
 
     /// Server that is the home of a key of the demo's caller at a service.
-    pub fn home(&self, service: &str, key: &str) -> String {
-        let servers = if service == "yard-app" { &PLAINS[..] } else { &ENGINES[2..] };
+    pub fn owner(&self, service: &str, key: &str) -> String {
+        let servers = if service == "yard-app" { &PLAIN_SERVERS[..] } else { &ENGINE_SERVERS[2..] };
         let names: Vec<String> = servers.iter().map(|name| name.to_string()).collect();
         let hash = rhubarb_core::ids::key_hash(service, "broker-south", key);
         rhubarb_core::home::rank(hash, &names)[0].clone()
     }
 
     /// A key whose home is `server`; `salt` tells apart the keys of one test.
-    pub fn key_at(&self, server: &str, salt: &str) -> String {
+    pub fn key_owned_by(&self, server: &str, salt: &str) -> String {
         let keys = (0..).map(|number| format!("{salt}-{number}"));
-        let mut keys = keys.filter(|key| self.home("yard-app", key) == server);
+        let mut keys = keys.filter(|key| self.owner("yard-app", key) == server);
         keys.next().expect("every server is the home of some key")
     }
 
@@ -395,19 +395,24 @@
     ///
     /// # Panics
     /// Panics with `what` and the processes' logs if it does not hold in time.
-    pub async fn until(&self, what: &str, check: impl AsyncFn() -> bool) {
-        self.within(PATIENCE, what, check).await;
+    pub async fn wait_until(&self, what: &str, check: impl AsyncFn() -> bool) {
+        self.wait_within(WAIT_TIMEOUT, what, check).await;
     }
 
     /// Waits at most `limit` until `check` holds.
     ///
     /// # Panics
     /// Panics with `what` and the processes' logs if it does not hold in time.
-    pub async fn within(&self, limit: time::Duration, what: &str, check: impl AsyncFn() -> bool) {
+    pub async fn wait_within(
+        &self,
+        limit: time::Duration,
+        what: &str,
+        check: impl AsyncFn() -> bool,
+    ) {
         let start = time::Instant::now();
         while !check().await {
             assert!(start.elapsed() < limit, "not in {limit:?}: {what}\n{}", self.logs());
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -431,12 +436,12 @@
         if let Some(code) = process.exit_code() {
             return code;
         }
-        assert!(start.elapsed() < PATIENCE, "the process does not end");
-        tokio::time::sleep(STEP).await;
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not end");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn finish(output: &os::Output) -> anyhow::Result<String> {
+fn checked_stdout(output: &os::Output) -> anyhow::Result<String> {
     let code = output.status.code().unwrap_or(-1);
     anyhow::ensure!(code == 0, "exit {code}: {}", String::from_utf8_lossy(&output.stderr));
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
--- a/crates/e2e/tests/fences.rs
+++ b/crates/e2e/tests/fences.rs
@@ -16,21 +16,21 @@
 
 /// A key waits for room at an agent; the agent is frozen, replaced, and moves again.
 async fn replace(fenced: bool) -> Replaced {
-    let list = stack::list("12s", "10s").replace("rooms = 64", "rooms = 1");
+    let list = stack::service_list("12s", "10s").replace("rooms = 64", "rooms = 1");
     let list = if fenced { list.replace("fenced = no", "fenced = yes") } else { list };
     let plan = stack::Plan { list, ..stack::Plan::default() };
     let mut stack = stack::Stack::start(plan).await.unwrap();
-    let slow = stack.key_at("yard-1", "slow");
-    let key = stack.key_at("yard-1", "waiting");
+    let slow = stack.key_owned_by("yard-1", "slow");
+    let key = stack.key_owned_by("yard-1", "waiting");
     let (one, two) = (stack.caller(0), stack.caller(0));
     let sent = slow.clone();
     let first = tokio::spawn(async move { one.confirm_slowly(&sent, 1500).await });
-    stack.until("the slow key runs", async || stack.runs(&slow).await == 1).await;
+    stack.wait_until("the slow key runs", async || stack.runs(&slow).await == 1).await;
     let sent = key.clone();
     let second = tokio::spawn(async move { two.confirm(&sent).await });
     let http = stack.agents["yard-1"].http;
     let waits = async || stack.status(http).await["waiting"] == 1;
-    stack.until("the other key waits", waits).await;
+    stack.wait_until("the other key waits", waits).await;
 
     let old = stack.agents.remove("yard-1").unwrap();
     old.freeze();
@@ -47,7 +47,7 @@
         assert_eq!(reply.status, 200, "{}", reply.body);
         !stack.metrics(http).await.contains("rhubarb_agent_runs_total 0")
     };
-    stack.until("the new agent hands a call to its server", reached).await;
+    stack.wait_until("the new agent hands a call to its server", reached).await;
     old.thaw();
     tokio::time::sleep(time::Duration::from_secs(2)).await;
     drop(old);
--- a/crates/e2e/tests/lists.rs
+++ b/crates/e2e/tests/lists.rs
@@ -7,14 +7,14 @@
 const IN_FORCE: time::Duration = time::Duration::from_secs(6);
 
 fn edited(number: u32) -> String {
-    stack::list("10m", "60s").replace("rate = 2000", &format!("rate = {}", 2000 + number))
+    stack::service_list("10m", "60s").replace("rate = 2000", &format!("rate = {}", 2000 + number))
 }
 
 async fn in_force(stack: &stack::Stack, version: u64) {
     let all = stack.entries.iter().chain(stack.agents.values());
     for address in all.map(|process| process.http) {
         let check = async || stack.status(address).await["version"] == version;
-        stack.within(IN_FORCE, "the version is in force", check).await;
+        stack.wait_within(IN_FORCE, "the version is in force", check).await;
     }
 }
 
@@ -83,7 +83,7 @@
         let reply = stack.caller(2).complete("from a new entry", 4).await.unwrap();
         reply.status == 200
     };
-    stack.within(IN_FORCE, "a new entry learns the list from an agent", serves).await;
+    stack.wait_within(IN_FORCE, "a new entry learns the list from an agent", serves).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/e2e/tests/once.rs
+++ b/crates/e2e/tests/once.rs
@@ -8,14 +8,14 @@
 const WINDOW_TIME: time::Duration = time::Duration::from_secs(12);
 
 fn short_window() -> stack::Plan {
-    let list = stack::list(WINDOW, "10s");
+    let list = stack::service_list(WINDOW, "10s");
     stack::Plan { list, relays: true, ..stack::Plan::default() }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_killed() {
     let mut stack = stack::Stack::start(short_window()).await.unwrap();
-    let lost = stack.key_at("yard-1", "lost");
+    let lost = stack.key_owned_by("yard-1", "lost");
     let caller = stack.caller(0);
     assert_eq!(caller.confirm(&lost).await.unwrap().status, 200);
     stack.agents.get_mut("yard-1").unwrap().kill();
@@ -28,7 +28,7 @@
         let reply = stack.caller(1).confirm(&lost).await.unwrap();
         reply.reason() == "key-uncertain"
     };
-    stack.until("the restarted agent refuses its keys", uncertain).await;
+    stack.wait_until("the restarted agent refuses its keys", uncertain).await;
     let reply = stack.caller(1).confirm(&lost).await.unwrap();
     assert_eq!((reply.status, reply.outcome()), (503, Some("unknown")), "{}", reply.body);
     assert!(reply.header("retry-after").is_some());
@@ -36,16 +36,16 @@
 
     // All others go on.
     for server in ["yard-2", "yard-3"] {
-        let key = stack.key_at(server, "other");
+        let key = stack.key_owned_by(server, "other");
         let reply = stack.caller(0).confirm(&key).await.unwrap();
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
     assert_eq!(stack.runs(&lost).await, 1);
 
     // New keys run again once the window is over.
-    let fresh = stack.key_at("yard-1", "fresh");
+    let fresh = stack.key_owned_by("yard-1", "fresh");
     let runs_again = async || stack.caller(0).confirm(&fresh).await.unwrap().status == 200;
-    stack.within(WINDOW_TIME * 2, "new keys run again", runs_again).await;
+    stack.wait_within(WINDOW_TIME * 2, "new keys run again", runs_again).await;
     assert!(killed.elapsed() > WINDOW_TIME / 2);
     assert_eq!(stack.runs(&fresh).await, 1);
 }
@@ -53,7 +53,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_answered_soon() {
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let key = stack.key_at("yard-1", "dead");
+    let key = stack.key_owned_by("yard-1", "dead");
     stack.agents.get_mut("yard-1").unwrap().kill();
     for _ in 0..5 {
         let reply = stack.caller(0).confirm(&key).await.unwrap();
@@ -65,11 +65,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_running() {
     let mut stack = stack::Stack::start(short_window()).await.unwrap();
-    let key = stack.key_at("yard-2", "running");
+    let key = stack.key_owned_by("yard-2", "running");
     let caller = stack.caller(0);
     let sent = key.clone();
     let call = tokio::spawn(async move { caller.confirm_slowly(&sent, 2000).await.unwrap() });
-    stack.until("the key runs", async || stack.runs(&key).await == 1).await;
+    stack.wait_until("the key runs", async || stack.runs(&key).await == 1).await;
     stack.agents.get_mut("yard-2").unwrap().kill();
     let reply = call.await.unwrap();
     assert_eq!((reply.status, reply.outcome()), (502, Some("unknown")), "{}", reply.body);
@@ -86,11 +86,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn link_cut() {
     let stack = stack::Stack::start(short_window()).await.unwrap();
-    let key = stack.key_at("yard-3", "cut");
+    let key = stack.key_owned_by("yard-3", "cut");
     let caller = stack.caller(0);
     let sent = key.clone();
     let call = tokio::spawn(async move { caller.confirm_slowly(&sent, 1500).await.unwrap() });
-    stack.until("the key runs", async || stack.runs(&key).await == 1).await;
+    stack.wait_until("the key runs", async || stack.runs(&key).await == 1).await;
     stack.relays["yard-3"].disconnect();
     let reply = call.await.unwrap();
     assert_eq!(reply.status, 200, "the run is resumed: {}", reply.body);
@@ -100,8 +100,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_frozen() {
     let stack = stack::Stack::start(short_window()).await.unwrap();
-    let key = stack.key_at("yard-1", "frozen");
-    stack.caller(0).confirm(&stack.key_at("yard-1", "warm")).await.unwrap();
+    let key = stack.key_owned_by("yard-1", "frozen");
+    stack.caller(0).confirm(&stack.key_owned_by("yard-1", "warm")).await.unwrap();
     stack.agents["yard-1"].freeze();
     let reply = stack.caller(0).confirm(&key).await.unwrap();
     assert_eq!(reply.outcome(), Some("unknown"), "{}", reply.body);
@@ -109,16 +109,16 @@
     assert_eq!(again.outcome(), Some("unknown"), "{}", again.body);
     stack.agents["yard-1"].thaw();
     let answered = async || stack.caller(1).confirm(&key).await.unwrap().status == 200;
-    stack.until("the key is answered", answered).await;
+    stack.wait_until("the key is answered", answered).await;
     assert_eq!(stack.runs(&key).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn order_delayed() {
     let stack = stack::Stack::start(short_window()).await.unwrap();
-    stack.caller(0).confirm(&stack.key_at("yard-1", "warm")).await.unwrap();
+    stack.caller(0).confirm(&stack.key_owned_by("yard-1", "warm")).await.unwrap();
     // The order stays in the socket; the entry gives up, and it arrives afterwards.
-    let key = stack.key_at("yard-1", "delayed");
+    let key = stack.key_owned_by("yard-1", "delayed");
     stack.relays["yard-1"].set_modes(relay::Mode::Buffer, relay::Mode::Forward);
     let reply = stack.caller(0).confirm(&key).await.unwrap();
     assert_ne!(reply.status, 200);
@@ -129,7 +129,7 @@
     assert!(runs <= 1);
     assert!(!(said_not_run && runs > 0), "ran after «not run»");
     let answered = async || stack.caller(1).confirm(&key).await.unwrap().status == 200;
-    stack.until("the key is answered", answered).await;
+    stack.wait_until("the key is answered", answered).await;
     assert_eq!(stack.runs(&key).await, 1);
 }
 
@@ -150,16 +150,16 @@
     assert_eq!(again.text(), whole.text());
     assert_eq!(again.json()["usage"], whole.json()["usage"]);
     assert_eq!(stack.runs("certificate-9").await, 1);
-    let gone = async || stack.held().await == 0;
-    stack.until("engine memory is free", gone).await;
+    let gone = async || stack.requests_in_memory().await == 0;
+    stack.wait_until("engine memory is free", gone).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_full() {
-    let plan = stack::Plan { answers: 300, ..stack::Plan::default() };
+    let plan = stack::Plan { answer_bytes: 300, ..stack::Plan::default() };
     let stack = stack::Stack::start(plan).await.unwrap();
-    let first = stack.key_at("yard-1", "first");
-    let mut keys = (0..9).map(|number| stack.key_at("yard-1", &format!("more-{number}")));
+    let first = stack.key_owned_by("yard-1", "first");
+    let mut keys = (0..9).map(|number| stack.key_owned_by("yard-1", &format!("more-{number}")));
     assert_eq!(stack.caller(0).confirm(&first).await.unwrap().status, 200);
     let refused = loop {
         let key = keys.next().expect("the answers do not fit");
@@ -192,26 +192,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_replaced_outage() {
     let mut stack = stack::Stack::start(short_window()).await.unwrap();
-    let lost = stack.key_at("yard-1", "lost");
+    let lost = stack.key_owned_by("yard-1", "lost");
     stack.caller(0).confirm(&lost).await.unwrap();
     stack.switch("table", "down").await.unwrap();
     stack.agents.get_mut("yard-1").unwrap().kill();
     stack.start_agent("yard-1").await.unwrap();
     let back = async || stack.status(stack.agents["yard-1"].http).await["loaded"] == true;
-    stack.until("the agent learns the list from its peers", back).await;
+    stack.wait_until("the agent learns the list from its peers", back).await;
     let refused =
         async || stack.caller(1).confirm(&lost).await.unwrap().reason() == "key-uncertain";
-    stack.until("its keys are refused", refused).await;
+    stack.wait_until("its keys are refused", refused).await;
     for server in ["yard-2", "yard-3"] {
-        let key = stack.key_at(server, "other");
+        let key = stack.key_owned_by(server, "other");
         assert_eq!(stack.caller(0).confirm(&key).await.unwrap().status, 200);
     }
     assert_eq!(stack.runs(&lost).await, 1);
 
     // New keys run again after the window, while the table is still down.
-    let fresh = stack.key_at("yard-1", "fresh");
+    let fresh = stack.key_owned_by("yard-1", "fresh");
     let runs_again = async || stack.caller(0).confirm(&fresh).await.unwrap().status == 200;
-    stack.within(WINDOW_TIME * 2, "new keys run in the outage", runs_again).await;
+    stack.wait_within(WINDOW_TIME * 2, "new keys run in the outage", runs_again).await;
 
     // The next process does not trust the table, which knows nothing of the one before.
     stack.agents.get_mut("yard-1").unwrap().kill();
@@ -223,14 +223,14 @@
         assert_ne!(reply.status, 200, "it may have run: {}", reply.body);
         reply.reason() == "key-uncertain"
     };
-    stack.until("the next process refuses the key", refused).await;
+    stack.wait_until("the next process refuses the key", refused).await;
     assert_eq!(stack.runs(&fresh).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_in_order() {
     let mut stack = stack::Stack::start(short_window()).await.unwrap();
-    let key = stack.key_at("yard-1", "kept");
+    let key = stack.key_owned_by("yard-1", "kept");
     let first = stack.caller(0).confirm(&key).await.unwrap();
     stack.stop_agent("yard-1").await;
     stack.start_agent("yard-1").await.unwrap();
@@ -239,9 +239,9 @@
         let reply = stack.caller(1).confirm(&key).await.unwrap();
         reply.status == 200 && reply.body == first.body
     };
-    stack.until("the next process gives the same answer", same).await;
-    let fresh = stack.key_at("yard-1", "fresh");
+    stack.wait_until("the next process gives the same answer", same).await;
+    let fresh = stack.key_owned_by("yard-1", "fresh");
     let runs = async || stack.caller(0).confirm(&fresh).await.unwrap().status == 200;
-    stack.within(WINDOW_TIME / 2, "new keys run without a wait", runs).await;
+    stack.wait_within(WINDOW_TIME / 2, "new keys run without a wait", runs).await;
     assert_eq!(stack.runs(&key).await, 1);
 }
--- a/crates/e2e/tests/orphans.rs
+++ b/crates/e2e/tests/orphans.rs
@@ -12,15 +12,19 @@
     let mut stack = stack::Stack::start(plan).await.unwrap();
     let mut stream = stack.caller(0).stream("long answer", 100_000).await.unwrap();
     stream.next().await.unwrap();
-    assert!(stack.held().await > 0);
+    assert!(stack.requests_in_memory().await > 0);
     fault(&mut stack).await;
-    stack.within(FREED_WITHIN, "engine memory is free", async || stack.held().await == 0).await;
+    stack
+        .wait_within(FREED_WITHIN, "engine memory is free", async || {
+            stack.requests_in_memory().await == 0
+        })
+        .await;
     let rooms_free = async || {
         let one = stack.status(stack.agents["decode-1"].http).await["held"].clone();
         let two = stack.status(stack.agents["decode-2"].http).await["held"].clone();
         one == 0 && two == 0
     };
-    stack.within(FREED_WITHIN, "the agents' rooms are free", rooms_free).await;
+    stack.wait_within(FREED_WITHIN, "the agents' rooms are free", rooms_free).await;
     let reply = stack.caller(1).complete("after the fault", 8).await.unwrap();
     assert_eq!(reply.status, 200, "{}", reply.body);
     drop(stream);
@@ -70,9 +74,13 @@
         tokio::time::sleep(time::Duration::from_millis(millis)).await;
         call.abort();
     }
-    stack.within(FREED_WITHIN, "engine memory is free", async || stack.held().await == 0).await;
+    stack
+        .wait_within(FREED_WITHIN, "engine memory is free", async || {
+            stack.requests_in_memory().await == 0
+        })
+        .await;
     let open = async || stack.status(stack.entries[0].http).await["open"] == 0;
-    stack.within(FREED_WITHIN, "the entry has no open requests", open).await;
+    stack.wait_within(FREED_WITHIN, "the entry has no open requests", open).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -88,11 +96,18 @@
     }
     drop(stream);
     tokio::time::sleep(time::Duration::from_millis(300)).await;
-    assert!(stack.held().await > 0, "the engine noticed neither the close nor a cancel");
+    assert!(
+        stack.requests_in_memory().await > 0,
+        "the engine noticed neither the close nor a cancel"
+    );
     for server in ["decode-1", "decode-2"] {
         stack.switch(server, "up").await.unwrap();
     }
-    stack.within(FREED_WITHIN, "engine memory is free", async || stack.held().await == 0).await;
+    stack
+        .wait_within(FREED_WITHIN, "engine memory is free", async || {
+            stack.requests_in_memory().await == 0
+        })
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -109,9 +124,9 @@
         }
         open
     };
-    stack.until("the call runs", async || open().await == 1).await;
+    stack.wait_until("the call runs", async || open().await == 1).await;
     call.abort();
-    stack.within(FREED_WITHIN, "the call is dropped", async || open().await == 0).await;
+    stack.wait_within(FREED_WITHIN, "the call is dropped", async || open().await == 0).await;
     for server in ["yard-1", "yard-2", "yard-3"] {
         let orders = stack.runs(&format!("{server}-cancel")).await;
         assert_eq!(orders, 0, "{server} is no engine and takes no orders");
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -38,7 +38,7 @@
 // Prompts that can no longer meet their target are refused, so a burst against the demo's
 // targets would depend on the pace of the machine.
 fn patient() -> stack::Plan {
-    let list = stack::list("10m", "60s");
+    let list = stack::service_list("10m", "60s");
     let list = list.replace("first_token = 460ms", "first_token = 30s");
     stack::Plan { list: list.replace("max_wait = 2s", "max_wait = 30s"), ..stack::Plan::default() }
 }
@@ -57,7 +57,7 @@
     for call in calls.collect::<Vec<_>>() {
         call.await.unwrap();
     }
-    stack.until("engine memory is free", async || stack.held().await == 0).await;
+    stack.wait_until("engine memory is free", async || stack.requests_in_memory().await == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -65,8 +65,10 @@
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(0).stream("long answer", 100_000).await.unwrap();
     stream.next().await.unwrap();
-    assert!(stack.held().await > 0);
+    assert!(stack.requests_in_memory().await > 0);
     drop(stream);
     let limit = std::time::Duration::from_secs(3);
-    stack.within(limit, "engine memory is free", async || stack.held().await == 0).await;
+    stack
+        .wait_within(limit, "engine memory is free", async || stack.requests_in_memory().await == 0)
+        .await;
 }
--- a/crates/e2e/tests/reports.rs
+++ b/crates/e2e/tests/reports.rs
@@ -38,7 +38,7 @@
         stack.entries[entry].terminate();
     }
     for entry in [0, 1] {
-        assert_eq!(stack.wait_exit_entry(entry).await, 0);
+        assert_eq!(stack.wait_entry_exit(entry).await, 0);
     }
     let report = stack.report().unwrap();
     assert_eq!(count(&report, "clip-models", "outcomes", "answered"), 6, "{report}");
@@ -57,13 +57,13 @@
     let counted = async || {
         stack.report().is_ok_and(|report| count(&report, "yard-app", "outcomes", "answered") == 1)
     };
-    stack.within(FLUSHED, "the record is stored", counted).await;
+    stack.wait_within(FLUSHED, "the record is stored", counted).await;
     stack.entries[0].kill();
     let gap = async || {
         let report = stack.report().unwrap();
         report["gaps"].as_array().unwrap().iter().any(|gap| gap["entry"] == "entry-1")
     };
-    stack.within(FLUSHED, "the gap is named", gap).await;
+    stack.wait_within(FLUSHED, "the gap is named", gap).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -80,5 +80,5 @@
         let report = stack.report().unwrap();
         count(&report, "yard-app", "refusals", "key-missing") == 1
     };
-    stack.within(FLUSHED, "the refusal is reported", counted).await;
+    stack.wait_within(FLUSHED, "the refusal is reported", counted).await;
 }
--- a/crates/e2e/tests/stops.rs
+++ b/crates/e2e/tests/stops.rs
@@ -77,20 +77,20 @@
     let rest = stream.rest().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", LONG));
     for server in &all {
-        let code = stack.wait_exit_agent(server).await;
+        let code = stack.wait_agent_exit(server).await;
         assert_eq!(code, 0, "{server}");
     }
-    assert_eq!(stack.wait_exit_entry(0).await, 0);
+    assert_eq!(stack.wait_entry_exit(0).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn confirm_ends() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let key = stack.key_at("yard-1", "slow");
+    let key = stack.key_owned_by("yard-1", "slow");
     let caller = stack.caller(0);
     let sent = key.clone();
     let call = tokio::spawn(async move { caller.confirm_slowly(&sent, 2000).await.unwrap() });
-    stack.until("the key runs", async || stack.runs(&key).await == 1).await;
+    stack.wait_until("the key runs", async || stack.runs(&key).await == 1).await;
     stack.agents["yard-1"].terminate();
     stack.entries[0].terminate();
     let reply = call.await.unwrap();
@@ -100,20 +100,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn queued_ends() {
-    let list = stack::list("10m", "60s").replace("rooms = 64", "rooms = 1");
+    let list = stack::service_list("10m", "60s").replace("rooms = 64", "rooms = 1");
     let plan = stack::Plan { list, ..stack::Plan::default() };
     let mut stack = stack::Stack::start(plan).await.unwrap();
-    let (slow, queued) = (stack.key_at("yard-1", "slow"), stack.key_at("yard-1", "queued"));
+    let (slow, queued) =
+        (stack.key_owned_by("yard-1", "slow"), stack.key_owned_by("yard-1", "queued"));
     let call = |key: &str, millis: u64| {
         let (caller, key) = (stack.caller(0), key.to_string());
         tokio::spawn(async move { caller.confirm_slowly(&key, millis).await.unwrap() })
     };
     let first = call(&slow, 1500);
-    stack.until("the slow key runs", async || stack.runs(&slow).await == 1).await;
+    stack.wait_until("the slow key runs", async || stack.runs(&slow).await == 1).await;
     let second = call(&queued, 0);
     let http = stack.agents["yard-1"].http;
     let waits = async || stack.status(http).await["waiting"] == 1;
-    stack.until("the other key waits", waits).await;
+    stack.wait_until("the other key waits", waits).await;
     // The agent stops, and then the entry too.
     stack.agents["yard-1"].terminate();
     stack.entries[0].terminate();
@@ -121,8 +122,8 @@
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
     assert_eq!(stack.runs(&queued).await, 1);
-    assert_eq!(stack.wait_exit_agent("yard-1").await, 0);
-    assert_eq!(stack.wait_exit_entry(0).await, 0);
+    assert_eq!(stack.wait_agent_exit("yard-1").await, 0);
+    assert_eq!(stack.wait_entry_exit(0).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -135,9 +136,9 @@
         let reply = stack.caller(0).complete("new work", 4).await.unwrap();
         reply.status == 503 && reply.reason() == "leaving" && reply.outcome() == Some("not-run")
     };
-    stack.within(FEW_SECONDS, "new work is refused", refused).await;
+    stack.wait_within(FEW_SECONDS, "new work is refused", refused).await;
     stream.rest().await.unwrap();
-    assert_eq!(stack.wait_exit_entry(0).await, 0);
+    assert_eq!(stack.wait_entry_exit(0).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -27,7 +27,11 @@
 }
 
 async fn freed(stack: &stack::Stack) {
-    stack.within(FREE_AGAIN, "engine memory is free", async || stack.held().await == 0).await;
+    stack
+        .wait_within(FREE_AGAIN, "engine memory is free", async || {
+            stack.requests_in_memory().await == 0
+        })
+        .await;
     let reply = stack.caller(0).complete("after the fault", 8).await.unwrap();
     assert_eq!(reply.text(), tokens::answer("after the fault", 8), "{}", reply.body);
 }
@@ -167,7 +171,7 @@
         }
         false
     };
-    stack.until("the call runs", runs).await;
+    stack.wait_until("the call runs", runs).await;
     stack.entries[0].freeze();
     // Longer than the agent keeps the answer of a call without a key.
     tokio::time::sleep(time::Duration::from_secs(7)).await;
