--- a/crates/e2e/benches/exchange.rs
+++ b/crates/e2e/benches/exchange.rs
@@ -46,7 +46,7 @@
     for edge in &site.edges {
         sum.datagrams += edge.counter("rhubarb_edge_shares_sent_total").await?;
         sum.bytes += edge.counter("rhubarb_edge_share_bytes_sent_total").await?;
-        sum.processor += edge.processor_time()?;
+        sum.processor += edge.cpu_time()?;
     }
     Ok(sum)
 }
@@ -55,7 +55,7 @@
 async fn load(site: &site::Site) -> usize {
     let until = time::Instant::now() + SPAN;
     let callers = (0..STREAMS).map(|caller| {
-        let edges: Vec<_> = site.edges.iter().map(|edge| edge.callers).collect();
+        let edges: Vec<_> = site.edges.iter().map(|edge| edge.frontend).collect();
         tokio::spawn(async move {
             let client = rhubarb_node::client::Client::new();
             let mut whole = 0;
--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -11,7 +11,7 @@
 /// Host of the routes of a stand-in's config.
 pub(crate) const HOST: &str = "x.example";
 /// Longest time for a request, above all limits of the routes.
-pub(crate) const CALL_LIMIT: time::Duration = time::Duration::from_secs(20);
+pub(crate) const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// A request to an entry.
 #[derive(Clone, Copy, Debug)]
@@ -46,9 +46,9 @@
             let value = value.parse().expect("tests write headers well");
             request.headers_mut().insert(name, value);
         }
-        let (head, body) = client.send(request, CALL_LIMIT).await?.into_parts();
+        let (head, body) = client.send(request, CALL_TIMEOUT).await?.into_parts();
         let reading = response::read_body(body, 1 << 20);
-        let body = tokio::time::timeout(CALL_LIMIT, reading).await.unwrap_or(None);
+        let body = tokio::time::timeout(CALL_TIMEOUT, reading).await.unwrap_or(None);
         Ok(Reply {
             status: head.status.as_u16(),
             headers: head.headers,
@@ -73,7 +73,7 @@
 
 impl Reply {
     /// Whether the entry itself gave the answer, and no server.
-    pub fn is_own(&self) -> bool {
+    pub fn is_local(&self) -> bool {
         !caller::is_servers(&self.headers)
     }
 }
--- a/crates/e2e/src/caller.rs
+++ b/crates/e2e/src/caller.rs
@@ -36,7 +36,7 @@
     pending: String,
 }
 
-const LIMIT: time::Duration = time::Duration::from_secs(90);
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 impl Caller {
     /// Makes a caller of the entry at `address`.
@@ -49,10 +49,10 @@
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
-        content: &str,
+        body: &str,
     ) -> anyhow::Result<Request<http_body_util::Full<Bytes>>> {
         let url = format!("http://{}{path}", self.address);
-        let mut request = client::request(method, &url, content.to_string().into())?;
+        let mut request = client::request(method, &url, body.to_string().into())?;
         let bearer = format!("Bearer {}", self.key);
         request.headers_mut().insert(header::AUTHORIZATION, bearer.parse()?);
         for (name, value) in headers {
@@ -71,11 +71,11 @@
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
-        content: &str,
+        body: &str,
     ) -> anyhow::Result<Reply> {
         let start = time::Instant::now();
-        let request = self.request(method, path, headers, content)?;
-        let reply = self.client.fetch(request, LIMIT).await?;
+        let request = self.request(method, path, headers, body)?;
+        let reply = self.client.fetch(request, REQUEST_TIMEOUT).await?;
         Ok(Reply {
             status: reply.status.as_u16(),
             headers: reply.headers,
@@ -102,8 +102,8 @@
         max_tokens: u32,
         headers: &[(&str, &str)],
     ) -> anyhow::Result<Reply> {
-        let content = content(prompt, max_tokens, false);
-        self.call(Method::POST, "/v1/completions", headers, &content).await
+        let body = request_body(prompt, max_tokens, false);
+        self.call(Method::POST, "/v1/completions", headers, &body).await
     }
 
     /// Asks for a streamed completion.
@@ -111,11 +111,11 @@
     /// # Errors
     /// Returns an error if no answer begins, or one with another status than 200.
     pub async fn stream(&self, prompt: &str, max_tokens: u32) -> anyhow::Result<Stream> {
-        let content = content(prompt, max_tokens, true);
-        let request = self.request(Method::POST, "/v1/completions", &[], &content)?;
-        let answer = self.client.send(request, LIMIT).await?;
-        anyhow::ensure!(answer.status() == 200, "status {}", answer.status());
-        Ok(Stream { body: answer.into_body(), pending: String::new() })
+        let body = request_body(prompt, max_tokens, true);
+        let request = self.request(Method::POST, "/v1/completions", &[], &body)?;
+        let response = self.client.send(request, REQUEST_TIMEOUT).await?;
+        anyhow::ensure!(response.status() == 200, "status {}", response.status());
+        Ok(Stream { body: response.into_body(), pending: String::new() })
     }
 
     /// Sends a lot confirmation with an idempotency key.
@@ -136,14 +136,14 @@
     }
 }
 
-fn content(prompt: &str, max_tokens: u32, stream: bool) -> String {
-    let content = serde_json::json!({
+fn request_body(prompt: &str, max_tokens: u32, stream: bool) -> String {
+    let body = serde_json::json!({
         "model": "clip-models",
         "prompt": prompt,
         "max_tokens": max_tokens,
         "stream": stream,
     });
-    content.to_string()
+    body.to_string()
 }
 
 impl Reply {
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// Returns an error if the answer is not whole.
-    pub async fn rest(&mut self) -> anyhow::Result<String> {
+    pub async fn read_to_end(&mut self) -> anyhow::Result<String> {
         let mut text = String::new();
         while let Some(event) = self.next().await? {
             if event == "[DONE]" {
--- a/crates/e2e/src/edge.rs
+++ b/crates/e2e/src/edge.rs
@@ -14,7 +14,7 @@
 pub struct Edge {
     pub(crate) child: process::Child,
     /// Where callers connect.
-    pub callers: net::SocketAddr,
+    pub frontend: net::SocketAddr,
     pub(crate) ready: net::SocketAddr,
     pub(crate) settings: path::PathBuf,
     pub(crate) log: path::PathBuf,
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// Returns an error if the system does not tell.
-    pub fn processor_time(&self) -> anyhow::Result<time::Duration> {
+    pub fn cpu_time(&self) -> anyhow::Result<time::Duration> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         // The fields behind the name, which may hold spaces: user and system time are the 14th
         // and 15th of proc(5), in ticks of 10 ms.
@@ -46,8 +46,8 @@
     /// # Errors
     /// Returns an error if the entry does not answer or has no such counter.
     pub async fn counter(&self, name: &str) -> anyhow::Result<u64> {
-        let url = format!("http://{}:{}/metrics", self.callers.ip(), metrics::PLATFORM_PORT);
-        let reply = client::Client::new().get(&url, call::CALL_LIMIT).await?;
+        let url = format!("http://{}:{}/metrics", self.frontend.ip(), metrics::PLATFORM_PORT);
+        let reply = client::Client::new().get(&url, call::CALL_TIMEOUT).await?;
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         let mut values = text.lines().filter_map(|line| line.strip_prefix(name));
         let value = values.find_map(|rest| rest.strip_prefix(' '));
@@ -116,7 +116,7 @@
         headers: &[(&str, &str)],
     ) -> anyhow::Result<call::Reply> {
         let call = call::Call { path, attempt, body, headers };
-        Ok(call.send(&client::Client::new(), method, self.callers).await?)
+        Ok(call.send(&client::Client::new(), method, self.frontend).await?)
     }
 }
 
@@ -128,7 +128,7 @@
 
 /// Starts the process of an entry with its settings file; what it writes is added to `log`.
 pub(crate) fn spawn(settings: &path::Path, log: &path::Path) -> anyhow::Result<process::Child> {
-    process::Command::new(programs::program("rhubarb-edge"))
+    process::Command::new(programs::program_path("rhubarb-edge"))
         .env("RHUBARBLOOM_NODE_FILE", settings)
         .stdin(process::Stdio::null())
         .stdout(fs::OpenOptions::new().create(true).append(true).open(log)?)
--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -20,7 +20,7 @@
 }
 
 /// Path of a program of this workspace.
-pub fn program(name: &str) -> path::PathBuf {
+pub fn program_path(name: &str) -> path::PathBuf {
     let mut dir = env::current_exe().expect("a test has a path");
     dir.pop();
     if dir.ends_with("deps") {
@@ -35,7 +35,7 @@
     /// # Errors
     /// Returns an error if the process cannot be started or ends early.
     pub fn start(name: &str, args: &[&str], log: &path::Path) -> anyhow::Result<Process> {
-        let mut child = process::Command::new(program(name))
+        let mut child = process::Command::new(program_path(name))
             .args(args)
             .stdin(process::Stdio::null())
             .stdout(process::Stdio::piped())
--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -25,7 +25,7 @@
     pub edges: Vec<edge::Edge>,
     handles: backend::Handles,
     dir: path::PathBuf,
-    net: [u8; 2],
+    subnet: [u8; 2],
 }
 
 /// Sizes of a deployment.
@@ -52,9 +52,9 @@
 /// Most servers at which one request may run.
 pub const MAX_ATTEMPTS: u32 = 2;
 /// Longest time of a plain call.
-pub const PLAIN_LIMIT: time::Duration = time::Duration::from_millis(1_500);
+pub const PLAIN_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 /// Longest time of a stream.
-pub const STREAM_LIMIT: time::Duration = time::Duration::from_secs(6);
+pub const STREAM_TIMEOUT: time::Duration = time::Duration::from_secs(6);
 /// Paths of the routes in [`Site::config`].
 pub const SAFE: &str = "/safe/x";
 /// Route whose requests run at most once.
@@ -65,10 +65,10 @@
 pub const STREAM: &str = "/stream/x";
 
 /// Time for which an engine keeps memory that nobody takes up.
-pub const KEPT_LIFE: time::Duration = time::Duration::from_secs(2);
+pub const HOLD_LIFETIME: time::Duration = time::Duration::from_secs(2);
 
-const START_LIMIT: time::Duration = time::Duration::from_secs(20);
-const STEP: time::Duration = time::Duration::from_millis(20);
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Site {
     /// Starts the stand-ins and the entries, and waits until these are ready.
@@ -90,24 +90,25 @@
     /// Returns what could not be started.
     pub async fn prepare(sizes: Sizes) -> anyhow::Result<Site> {
         static COUNT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
-        let net = [(process::id() % 120 + 2) as u8, COUNT.fetch_add(1, atomic::Ordering::Relaxed)];
-        let dir = env::temp_dir().join(format!("rhubarb-site-{}-{}", process::id(), net[1]));
+        let subnet =
+            [(process::id() % 120 + 2) as u8, COUNT.fetch_add(1, atomic::Ordering::Relaxed)];
+        let dir = env::temp_dir().join(format!("rhubarb-site-{}-{}", process::id(), subnet[1]));
         fs::create_dir_all(&dir)?;
         let handles = backend::Handles::default();
-        let group = |name: &str, stage: &str, count: usize| {
+        let backends = |name: &str, stage: &str, count: usize| {
             let ids = (0..count).map(|number| format!("i-{name}-{number}"));
             ids.map(|id| backend::Backend::new(&id, stage, &handles)).collect::<Vec<_>>()
         };
         let mut site = Site {
             store: store::Store::default(),
-            plain: group("plain", "", sizes.plain),
-            prefill: group("prefill", "prefill", sizes.prefill),
-            decode: group("decode", "decode", sizes.decode),
+            plain: backends("plain", "", sizes.plain),
+            prefill: backends("prefill", "prefill", sizes.prefill),
+            decode: backends("decode", "decode", sizes.decode),
             relays: collections::BTreeMap::new(),
             edges: Vec::new(),
             handles: handles.clone(),
             dir,
-            net,
+            subnet,
         };
         for backend in site.servers() {
             let address = backend.serve(site.ip(1)).await?;
@@ -122,7 +123,7 @@
     }
 
     fn ip(&self, last: u8) -> net::IpAddr {
-        [127, self.net[0], self.net[1], last].into()
+        [127, self.subnet[0], self.subnet[1], last].into()
     }
 
     /// All servers.
@@ -134,9 +135,9 @@
     pub fn announce(&self, backend: &backend::Backend, state: &str) {
         let Some(address) = backend.address() else { return };
         let relay = self.relays.get(&backend.id).map(|relay| relay.address);
-        let mut entry = entry(backend, relay.unwrap_or(address));
-        entry["state"] = json!(state);
-        self.store.put("servers", &backend.id, entry.to_string());
+        let mut row = server_row(backend, relay.unwrap_or(address));
+        row["state"] = json!(state);
+        self.store.put("servers", &backend.id, row.to_string());
     }
 
     /// Puts a relay with a new address before a server; the old one passes nothing any more.
@@ -168,7 +169,7 @@
     pub fn config(&self, version: u64) -> serde_json::Value {
         let route = |name: &str, kind: &str, service: &str, resumable: bool| {
             let is_stream = kind == "streaming";
-            let limit = if is_stream { STREAM_LIMIT } else { PLAIN_LIMIT };
+            let limit = if is_stream { STREAM_TIMEOUT } else { PLAIN_TIMEOUT };
             json!({
                 "name": name, "host": call::HOST, "prefix": format!("/{name}/"), "kind": kind,
                 "timeout_ms": limit.as_millis() as u64, "target_latency_ms": 300,
@@ -195,7 +196,7 @@
                 {"name": "plain", "health_path": "/health", "max_connections": 100},
                 {"name": "models", "health_path": "/health", "max_connections": 100, "engine": {
                     "batch_slots": 6, "kv_capacity": 20_000, "kv_hold_s": 0.5,
-                    "role_switch_s": 1.0, "hold_ms": KEPT_LIFE.as_secs_f64() * 1e3,
+                    "role_switch_s": 1.0, "hold_ms": HOLD_LIFETIME.as_secs_f64() * 1e3,
                 }},
             ],
             "limits": {"max_header_bytes": 16_384, "max_body_bytes": 65_536},
@@ -243,8 +244,8 @@
         fs::write(&settings, self.settings(number, ip, store))?;
         let log = self.dir.join(format!("edge-{number}.log"));
         let child = edge::spawn(&settings, &log)?;
-        let (callers, ready) = ((ip, 8144).into(), (ip, 8140).into());
-        self.edges.push(edge::Edge { child, callers, ready, settings, log });
+        let (frontend, ready) = ((ip, 8144).into(), (ip, 8140).into());
+        self.edges.push(edge::Edge { child, frontend, ready, settings, log });
         Ok(())
     }
 
@@ -264,12 +265,12 @@
     /// # Errors
     /// Returns an error if one does not become ready in time.
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
-        let until = time::Instant::now() + START_LIMIT;
+        let deadline = time::Instant::now() + START_TIMEOUT;
         for edge in &self.edges {
             while !edge.is_ready().await {
                 let log = fs::read_to_string(&edge.log).unwrap_or_default();
-                anyhow::ensure!(time::Instant::now() < until, "an entry is not ready: {log}");
-                tokio::time::sleep(STEP).await;
+                anyhow::ensure!(time::Instant::now() < deadline, "an entry is not ready: {log}");
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -282,17 +283,17 @@
     }
 
     /// Requests that run at any server now, and what engines keep for others.
-    pub fn kept(&self) -> usize {
-        self.kept_since(None)
+    pub fn outstanding(&self) -> usize {
+        self.outstanding_since(None)
     }
 
     /// The same without what the platform's engines have dropped by themselves, as they do after
-    /// [`KEPT_LIFE`].
-    pub fn kept_lastingly(&self) -> usize {
-        self.kept_since(time::Instant::now().checked_sub(KEPT_LIFE))
+    /// [`HOLD_LIFETIME`].
+    pub fn outstanding_unexpired(&self) -> usize {
+        self.outstanding_since(time::Instant::now().checked_sub(HOLD_LIFETIME))
     }
 
-    fn kept_since(&self, oldest: Option<time::Instant>) -> usize {
+    fn outstanding_since(&self, oldest: Option<time::Instant>) -> usize {
         let engines = self.prefill.iter().chain(&self.decode);
         let held = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
         let handles = rhubarb_node::locks::lock(&self.handles);
@@ -308,18 +309,18 @@
 }
 
 // The entry of a server in the store.
-fn entry(backend: &backend::Backend, address: net::SocketAddr) -> serde_json::Value {
+fn server_row(backend: &backend::Backend, address: net::SocketAddr) -> serde_json::Value {
     let (stage, _) = backend.stage();
     let service = if stage.is_empty() { "plain" } else { "models" };
-    let mut entry = json!({
+    let mut row = json!({
         "service": service, "address": address, "zone": "hall-a", "version": "v1",
         "batch_slots": 6, "state": "ready", "cold_remaining_ms": 0,
         "sequence": 1, "born": backend.born(),
     });
     if !stage.is_empty() {
-        entry["stage"] = json!(stage);
+        row["stage"] = json!(stage);
     }
-    entry
+    row
 }
 
 /// Host whose route came with version `version` of the config.
@@ -328,6 +329,6 @@
 }
 
 /// The whole stream that engines send.
-pub fn whole_stream() -> String {
+pub fn full_stream() -> String {
     (0..backend::EVENTS).map(|number| format!("id: {number}\ndata: token-{number}\n\n")).collect()
 }
--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -347,7 +347,7 @@
     pub fn ctl(&self, args: &[&str]) -> anyhow::Result<String> {
         let settings = self.render_settings(include_str!("../../../examples/ctl.ini"), &[]);
         let path = self.write_file("ctl.ini", &settings)?;
-        let output = os::Command::new(process::program("rhubarb-ctl"))
+        let output = os::Command::new(process::program_path("rhubarb-ctl"))
             .arg(args[0])
             .args(["--settings", &path])
             .args(&args[1..])
@@ -364,7 +364,7 @@
         let path = self.write_file("report.ini", &settings)?;
         let now = rhubarb_node::clock::unix_ms();
         let (from, to) = (now - 3_600_000, now + 3_600_000);
-        let output = os::Command::new(process::program("rhubarb-report"))
+        let output = os::Command::new(process::program_path("rhubarb-report"))
             .args(["--settings", &path, "--format", "json"])
             .args(["--from", &from.to_string(), "--to", &to.to_string()])
             .output()?;
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -20,7 +20,7 @@
 async fn streamed_body() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(1).stream("long summary", 40).await.unwrap();
-    assert_eq!(stream.rest().await.unwrap(), tokens::answer("long summary", 40));
+    assert_eq!(stream.read_to_end().await.unwrap(), tokens::answer("long summary", 40));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/e2e/tests/platform_reports.rs
+++ b/crates/e2e/tests/platform_reports.rs
@@ -19,7 +19,7 @@
 
 async fn report_with(site: &site::Site, options: &[&str]) -> anyhow::Result<Value> {
     let now = clock::unix_ms();
-    let mut command = process::Command::new(programs::program("rhubarb-report"));
+    let mut command = process::Command::new(programs::program_path("rhubarb-report"));
     command
         .args(options)
         .args(["--store", &site.store_address()?.to_string(), "--format", "json"])
--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -24,7 +24,7 @@
         edge.call(Method::POST, site::UNSAFE, "a2", "body").await
     };
     let (streamed, late) = tokio::join!(call, stop);
-    assert_eq!(streamed?.body, Some(site::whole_stream()));
+    assert_eq!(streamed?.body, Some(site::full_stream()));
     let late = late?;
     assert_eq!((late.status, &late.headers["connection"]), (200, &"close".parse()?));
     let start = time::Instant::now();
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -11,7 +11,7 @@
 
 async fn settled(site: &site::Site) -> bool {
     for _ in 0..60 {
-        if site.kept() == 0 {
+        if site.outstanding() == 0 {
             return true;
         }
         tokio::time::sleep(time::Duration::from_millis(50)).await;
@@ -24,7 +24,7 @@
     let site = site::Site::start(site::Sizes::default()).await?;
     for (attempt, path) in [("a1", site::RESUMABLE), ("a2", site::STREAM)] {
         let reply = site.edges[0].call(Method::POST, path, attempt, "body").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())), "{path}");
+        assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())), "{path}");
         assert_eq!(site.runs(attempt), 1);
     }
     let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.seen()).collect();
@@ -49,14 +49,14 @@
         }
         let attempt = format!("r{number}");
         let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
-        let whole = (200, Some(site::whole_stream()));
+        let whole = (200, Some(site::full_stream()));
         assert_eq!((reply.status, reply.body), whole, "{fault:?}");
         let attempt = format!("o{number}");
         let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "b").await?;
         assert!(site.runs(&attempt) <= 1, "{fault:?}: a request ran twice");
-        let is_whole = reply.body.as_deref() == Some(site::whole_stream().as_str());
+        let is_whole = reply.body.as_deref() == Some(site::full_stream().as_str());
         let is_broken = reply.body.is_none();
-        let is_own = reply.is_own() && reply.status >= 500;
+        let is_own = reply.is_local() && reply.status >= 500;
         assert!(is_whole || is_broken || is_own, "{fault:?}: {reply:?}");
         assert!(!is_served || is_whole, "{fault:?}: nothing had run");
     }
@@ -90,7 +90,7 @@
     assert!(reply.headers.contains_key("retry-after"), "{reply:?}");
     assert!(reply.taken < time::Duration::from_millis(600), "{:?}", reply.taken);
     assert_eq!(site.runs("a1"), 0);
-    assert_eq!(site.kept(), 0, "no prompt is read for a request without room");
+    assert_eq!(site.outstanding(), 0, "no prompt is read for a request without room");
     Ok(())
 }
 
@@ -102,7 +102,7 @@
         site.prefill[0].set_fault(fault);
         let attempt = format!("a-{fault:?}");
         let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "body").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())), "{fault:?}");
+        assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())), "{fault:?}");
     }
     Ok(())
 }
@@ -128,7 +128,7 @@
     let site = site::Site::start(sizes).await?;
     site.decode[0].set_fault(Fault::Pauses);
     let reply = site.edges[0].call(Method::POST, site::RESUMABLE, "a1", "body").await?;
-    assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())));
+    assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())));
     assert_eq!(site.runs("a1"), 1);
     Ok(())
 }
@@ -142,7 +142,7 @@
     for number in 0..MOST_CALLS {
         let attempt = format!("a{number}");
         let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
-        assert_eq!((reply.status, reply.body), (200, Some(site::whole_stream())));
+        assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())));
         if site.runs(&attempt) == 2 {
             let seen = site.decode[1].seen();
             assert_eq!(seen.last().unwrap().headers["last-event-id"], "1");
@@ -161,7 +161,7 @@
     for number in 0..3 {
         let id = format!("a{number}");
         let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[size]).await?;
-        assert_eq!(reply.body, Some(site::whole_stream()));
+        assert_eq!(reply.body, Some(site::full_stream()));
     }
     // Six events take 80 ms from the first to the last, without one pause.
     let headers = [size, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
--- a/crates/e2e/tests/platform_survey.rs
+++ b/crates/e2e/tests/platform_survey.rs
@@ -8,7 +8,7 @@
 use rhubarb_fakes::store;
 
 async fn ctl(site: &site::Site, args: &[&str]) -> anyhow::Result<process::Output> {
-    let mut command = process::Command::new(programs::program("rhubarb-ctl"));
+    let mut command = process::Command::new(programs::program_path("rhubarb-ctl"));
     command.args(args).args(["--store", &site.store_address()?.to_string()]);
     // The store that it reads is served by this process.
     Ok(tokio::task::spawn_blocking(move || command.output()).await??)
--- a/crates/e2e/tests/stops.rs
+++ b/crates/e2e/tests/stops.rs
@@ -74,7 +74,7 @@
         stack.agents[server].terminate();
     }
     stack.entries[0].terminate();
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", LONG));
     for server in &all {
         let code = stack.wait_agent_exit(server).await;
@@ -137,7 +137,7 @@
         reply.status == 503 && reply.reason() == "leaving" && reply.outcome() == Some("not-run")
     };
     stack.wait_within(FEW_SECONDS, "new work is refused", refused).await;
-    stream.rest().await.unwrap();
+    stream.read_to_end().await.unwrap();
     assert_eq!(stack.wait_entry_exit(0).await, 0);
 }
 
--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -44,7 +44,7 @@
     for relay in stack.relays.values() {
         relay.disconnect();
     }
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert!(first.contains(&tokens::token("long summary", 0)));
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     freed(&stack).await;
@@ -58,7 +58,7 @@
     for relay in stack.relays.values() {
         relay.blackhole();
     }
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     freed(&stack).await;
 }
@@ -106,7 +106,7 @@
     stream.next().await.unwrap();
     let server = decoding(&stack).await;
     stack.agents[&server].freeze();
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     stack.agents[&server].thaw();
     freed(&stack).await;
@@ -119,7 +119,7 @@
     stream.next().await.unwrap();
     let server = decoding(&stack).await;
     stack.switch(&server, "frozen").await.unwrap();
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     stack.switch(&server, "up").await.unwrap();
     freed(&stack).await;
@@ -150,7 +150,7 @@
     }
     let server = decoding(&stack).await;
     stack.agents.get_mut(&server).unwrap().kill();
-    let rest = stream.rest().await.unwrap();
+    let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     freed(&stack).await;
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -95,7 +95,7 @@
     runs: &Runs,
 ) -> Vec<Broken> {
     let mut broken = Vec::new();
-    let is_refusal = reply.is_own() && NOT_RUN.contains(&reply.status);
+    let is_refusal = reply.is_local() && NOT_RUN.contains(&reply.status);
     if is_refusal && runs.contains_key(&record.attempt) {
         broken.push(found(Promise::NotRun, record, "it ran"));
     }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -42,8 +42,8 @@
     /// Longest time to its answer.
     pub fn limit(self) -> time::Duration {
         match self {
-            Kind::Safe | Kind::Unsafe => site::PLAIN_LIMIT,
-            Kind::Resumable | Kind::Stream => site::STREAM_LIMIT,
+            Kind::Safe | Kind::Unsafe => site::PLAIN_TIMEOUT,
+            Kind::Resumable | Kind::Stream => site::STREAM_TIMEOUT,
         }
     }
 
@@ -51,7 +51,7 @@
     pub fn whole(self, body: &str) -> String {
         match self {
             Kind::Safe | Kind::Unsafe => body.to_string(),
-            Kind::Resumable | Kind::Stream => site::whole_stream(),
+            Kind::Resumable | Kind::Stream => site::full_stream(),
         }
     }
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -45,7 +45,7 @@
     let site = site::Site::start(plan.sizes).await?;
     let shared = sync::Arc::new(callers::Shared {
         log: sync::Mutex::default(),
-        edges: site.edges.iter().map(|edge| edge.callers).collect(),
+        edges: site.edges.iter().map(|edge| edge.frontend).collect(),
         version: atomic::AtomicU64::new(1),
         stopped: atomic::AtomicBool::new(false),
         seq: atomic::AtomicU64::new(0),
@@ -115,9 +115,9 @@
 
 async fn wait_free(hands: &mut hands::Hands) {
     let until = time::Instant::now() + FREE_LIMIT;
-    while hands.site.kept_lastingly() > 0 {
+    while hands.site.outstanding_unexpired() > 0 {
         if time::Instant::now() >= until {
-            let seen = format!("{} pieces of engine memory", hands.site.kept_lastingly());
+            let seen = format!("{} pieces of engine memory", hands.site.outstanding_unexpired());
             hands.broken.push(check::Broken { promise: check::Promise::Kept, seen });
             return;
         }
@@ -145,8 +145,8 @@
     };
     Report {
         requests: log.records.len(),
-        answered: replies.clone().filter(|reply| !reply.is_own()).count(),
-        refused: replies.filter(|reply| reply.is_own() && reply.status == 503).count(),
+        answered: replies.clone().filter(|reply| !reply.is_local()).count(),
+        refused: replies.filter(|reply| reply.is_local() && reply.status == 503).count(),
         broken,
         logs,
     }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -52,7 +52,7 @@
 fn sound_answers() {
     let whole = reply(200, false, Some("body of a1"));
     assert_eq!(found(record(Kind::Unsafe, End::Answer(whole)), &[], 1), []);
-    let stream = site::whole_stream();
+    let stream = site::full_stream();
     let whole = reply(200, false, Some(&stream));
     assert_eq!(found(record(Kind::Stream, End::Answer(whole)), &[], 1), []);
     let cut = reply(200, false, None);
@@ -104,7 +104,7 @@
 #[test]
 fn late_answer() {
     let mut slow = reply(200, false, Some("body of a1"));
-    slow.taken = site::PLAIN_LIMIT + time::Duration::from_secs(2);
+    slow.taken = site::PLAIN_TIMEOUT + time::Duration::from_secs(2);
     assert_eq!(found(record(Kind::Safe, End::Answer(slow)), &[], 1), [Promise::InTime]);
 }
 
