--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -1,4 +1,4 @@
-//! Requests to entries on the platform, and their answers.
+//! Requests to the entries of a platform deployment, and their responses.
 
 use std::{net, time};
 
@@ -8,9 +8,9 @@
 use rhubarb_fakes::caller;
 use rhubarb_node::{client, response};
 
-/// Host of the routes of a stand-in's config.
+/// Host that the default routes of a [`site::Site`](crate::site::Site) match.
 pub(crate) const HOST: &str = "x.example";
-/// Longest time for a request, above all limits of the routes.
+/// Timeout of a request; longer than the timeout of any route.
 pub(crate) const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// A request to an entry.
@@ -18,19 +18,19 @@
 pub struct Call<'a> {
     /// Path and query.
     pub path: &'a str,
-    /// Id of the request.
+    /// Attempt id, sent as `x-attempt-id`.
     pub attempt: &'a str,
-    /// Body.
+    /// Request body.
     pub body: &'a str,
-    /// Headers beside the usual ones, or in their place.
+    /// Extra headers; they replace default headers of the same name.
     pub headers: &'a [(&'a str, &'a str)],
 }
 
 impl Call<'_> {
-    /// Sends the request to `address` and reads its answer.
+    /// Sends the request to `address` and reads the response.
     ///
     /// # Errors
-    /// Returns an error if there is no answer.
+    /// Returns an error if no response head arrives.
     pub async fn send(
         &self,
         client: &client::Client,
@@ -42,8 +42,8 @@
         let mut request = client::request(method, &url, Bytes::from(self.body.to_string()))?;
         let [id, usage] = caller::headers(self.attempt);
         for (name, value) in [("host", HOST), id, usage].iter().chain(self.headers) {
-            let name: header::HeaderName = name.parse().expect("tests name headers well");
-            let value = value.parse().expect("tests write headers well");
+            let name: header::HeaderName = name.parse().expect("header name is valid");
+            let value = value.parse().expect("header value is valid");
             request.headers_mut().insert(name, value);
         }
         let (head, body) = client.send(request, CALL_TIMEOUT).await?.into_parts();
@@ -58,21 +58,21 @@
     }
 }
 
-/// A whole answer, or how much of it came.
+/// A response whose body is complete or was cut off.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body; `None` where it broke off.
+    /// Response body; `None` if it was cut off.
     pub body: Option<String>,
-    /// Time from the call to its end.
+    /// Time from sending the request to the end of the response.
     pub taken: time::Duration,
 }
 
 impl Reply {
-    /// Whether the entry itself gave the answer, and no server.
+    /// Whether the entry itself generated the response, rather than a backend server.
     pub fn is_local(&self) -> bool {
         !caller::is_servers(&self.headers)
     }
