--- a/crates/e2e/src/caller.rs
+++ b/crates/e2e/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a deployment.
+//! An HTTP client that sends requests as a caller of a deployment.
 
 use std::{net, time};
 
@@ -8,7 +8,7 @@
 
 use rhubarb_node::client;
 
-/// A caller that talks to one entry.
+/// A client of one entry, with the key of one caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
     address: net::SocketAddr,
@@ -16,20 +16,20 @@
     key: String,
 }
 
-/// Whole answer to a call.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: String,
-    /// Time from the call to the whole answer.
+    /// Time from sending the request to the end of the response.
     pub taken: time::Duration,
 }
 
-/// A streamed answer on its way.
+/// A streamed response whose events are read one by one.
 #[derive(Debug)]
 pub struct Stream {
     body: body::Incoming,
@@ -39,7 +39,7 @@
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 impl Caller {
-    /// Makes a caller of the entry at `address`.
+    /// Creates a client of the entry at `address` that authenticates with `key`.
     pub fn new(address: net::SocketAddr, key: &str) -> Caller {
         Caller { address, client: client::Client::new(), key: key.to_string() }
     }
@@ -62,10 +62,10 @@
         Ok(request)
     }
 
-    /// Makes a call.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
-    /// Returns an error if the answer is missing or broken off.
+    /// Returns an error if the response is missing or cut off.
     pub async fn call(
         &self,
         method: Method,
@@ -84,18 +84,18 @@
         })
     }
 
-    /// Asks for a whole completion.
+    /// Requests a completion that is not streamed.
     ///
     /// # Errors
-    /// Returns an error if the answer is missing or broken off.
+    /// Returns an error if the response is missing or cut off.
     pub async fn complete(&self, prompt: &str, max_tokens: u32) -> anyhow::Result<Reply> {
         self.complete_with(prompt, max_tokens, &[]).await
     }
 
-    /// Asks for a whole completion, with more headers.
+    /// Requests a completion that is not streamed, with extra headers.
     ///
     /// # Errors
-    /// Returns an error if the answer is missing or broken off.
+    /// Returns an error if the response is missing or cut off.
     pub async fn complete_with(
         &self,
         prompt: &str,
@@ -106,10 +106,10 @@
         self.call(Method::POST, "/v1/completions", headers, &body).await
     }
 
-    /// Asks for a streamed completion.
+    /// Requests a streamed completion.
     ///
     /// # Errors
-    /// Returns an error if no answer begins, or one with another status than 200.
+    /// Returns an error if no response head arrives, or its status is not 200.
     pub async fn stream(&self, prompt: &str, max_tokens: u32) -> anyhow::Result<Stream> {
         let body = request_body(prompt, max_tokens, true);
         let request = self.request(Method::POST, "/v1/completions", &[], &body)?;
@@ -118,18 +118,19 @@
         Ok(Stream { body: response.into_body(), pending: String::new() })
     }
 
-    /// Sends a lot confirmation with an idempotency key.
+    /// Sends `POST /yard-app/confirm` with an idempotency key.
     ///
     /// # Errors
-    /// Returns an error if the answer is missing or broken off.
+    /// Returns an error if the response is missing or cut off.
     pub async fn confirm(&self, key: &str) -> anyhow::Result<Reply> {
         self.confirm_slowly(key, 0).await
     }
 
-    /// Sends a lot confirmation that the server works on for `millis`.
+    /// Sends `POST /yard-app/confirm`, which the backend server answers after `millis`
+    /// milliseconds.
     ///
     /// # Errors
-    /// Returns an error if the answer is missing or broken off.
+    /// Returns an error if the response is missing or cut off.
     pub async fn confirm_slowly(&self, key: &str, millis: u64) -> anyhow::Result<Reply> {
         let path = format!("/yard-app/confirm?{millis}");
         self.call(Method::POST, &path, &[("idempotency-key", key)], "{}").await
@@ -152,32 +153,33 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Whether the request ran, for an answer that is not the backend's own.
+    /// Outcome of the request, as the `rhubarb-outcome` header names it; `None` on a response
+    /// of the backend server.
     pub fn outcome(&self) -> Option<&str> {
         self.header("rhubarb-outcome")
     }
 
-    /// Body as JSON.
+    /// Response body as JSON; null if it is not JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// Text of a completion.
+    /// Text of the completion; empty if there is none.
     pub fn text(&self) -> String {
         self.json()["choices"][0]["text"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Reason of a refusal.
+    /// Reason of a rejection; empty if there is none.
     pub fn reason(&self) -> String {
         self.json()["error"]["type"].as_str().unwrap_or_default().to_string()
     }
 }
 
 impl Stream {
-    /// Next event's data; `None` at the end of the body.
+    /// Reads the data of the next event; `None` at the end of the body.
     ///
     /// # Errors
-    /// Returns an error if the answer breaks off.
+    /// Returns an error if the response is cut off.
     pub async fn next(&mut self) -> anyhow::Result<Option<String>> {
         loop {
             if let Some(end) = self.pending.find("\n\n") {
@@ -194,10 +196,10 @@
         }
     }
 
-    /// Reads on to the end and returns the text; an error event or a missing end is an error.
+    /// Reads the remaining events and returns their text.
     ///
     /// # Errors
-    /// Returns an error if the answer is not whole.
+    /// Returns an error if the stream is cut off, has an error event or ends without `[DONE]`.
     pub async fn read_to_end(&mut self) -> anyhow::Result<String> {
         let mut text = String::new();
         while let Some(event) = self.next().await? {
@@ -208,6 +210,6 @@
             anyhow::ensure!(event.get("error").is_none(), "{event}");
             text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
         }
-        anyhow::bail!("the stream ended without its end mark")
+        anyhow::bail!("the stream ended without [DONE]")
     }
 }
