--- a/crates/e2e/src/edge.rs
+++ b/crates/e2e/src/edge.rs
@@ -1,4 +1,4 @@
-//! One entry of a stand-in deployment, as a process.
+//! An entry process of a platform deployment.
 
 use std::{fs, net, path, process, time};
 
@@ -9,11 +9,11 @@
 
 use crate::{call, process as programs};
 
-/// One entry; it is killed when this is dropped.
+/// A running entry process, killed on drop.
 #[derive(Debug)]
 pub struct Edge {
     pub(crate) child: process::Child,
-    /// Where callers connect.
+    /// Address for callers.
     pub frontend: net::SocketAddr,
     pub(crate) ready: net::SocketAddr,
     pub(crate) settings: path::PathBuf,
@@ -21,30 +21,30 @@
 }
 
 impl Edge {
-    /// Whether the balancer may send new connections.
+    /// Whether the entry reports to the load balancer that it accepts connections.
     pub async fn is_ready(&self) -> bool {
         let url = format!("http://{}/v1/ready", self.ready);
         let reply = client::Client::new().get(&url, time::Duration::from_secs(1)).await;
         reply.is_ok_and(|reply| reply.status.is_success())
     }
 
-    /// Processor time that the process has used.
+    /// User and system CPU time of the process.
     ///
     /// # Errors
-    /// Returns an error if the system does not tell.
+    /// Returns an error if `/proc` has no entry for the process.
     pub fn cpu_time(&self) -> anyhow::Result<time::Duration> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        // The fields behind the name, which may hold spaces: user and system time are the 14th
-        // and 15th of proc(5), in ticks of 10 ms.
+        // Fields are counted after the process name, which may contain spaces. User and system time
+        // are fields 14 and 15 in proc(5), in ticks of 10 ms.
         let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace().skip(11);
         let ticks: u64 = fields.take(2).filter_map(|field| field.parse::<u64>().ok()).sum();
         Ok(time::Duration::from_millis(ticks * 10))
     }
 
-    /// Value of a counter on the metrics address.
+    /// Reads the value of a counter from the metrics endpoint.
     ///
     /// # Errors
-    /// Returns an error if the entry does not answer or has no such counter.
+    /// Returns an error if the entry does not respond or has no such counter.
     pub async fn counter(&self, name: &str) -> anyhow::Result<u64> {
         let url = format!("http://{}:{}/metrics", self.frontend.ip(), metrics::PLATFORM_PORT);
         let reply = client::Client::new().get(&url, call::CALL_TIMEOUT).await?;
@@ -58,24 +58,24 @@
             .map_err(Into::into)
     }
 
-    /// Log so far.
+    /// Log written so far.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Changes a line of the settings file.
+    /// Replaces `from` with `to` in the settings file.
     ///
     /// # Errors
-    /// Returns an error if the file cannot be written.
+    /// Returns an error if the file cannot be read or written.
     pub fn edit_settings(&self, from: &str, to: &str) -> anyhow::Result<()> {
         let text = fs::read_to_string(&self.settings)?;
         Ok(fs::write(&self.settings, text.replace(from, to))?)
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: signals::Signal) {
         let pid = signals::Pid::from_child(&self.child);
-        signals::kill_process(pid, signal).expect("the process is there");
+        signals::kill_process(pid, signal).expect("the process is running");
     }
 
     /// Kills the process.
@@ -89,10 +89,10 @@
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Sends a request with the id `attempt`.
+    /// Sends a request with the attempt id `attempt`.
     ///
     /// # Errors
-    /// Returns an error if there is no answer.
+    /// Returns an error if no response head arrives.
     pub async fn call(
         &self,
         method: Method,
@@ -103,10 +103,10 @@
         self.call_with(method, path, attempt, body, &[]).await
     }
 
-    /// Sends a request with more headers.
+    /// Sends a request with extra headers.
     ///
     /// # Errors
-    /// Returns an error if there is no answer.
+    /// Returns an error if no response head arrives.
     pub async fn call_with(
         &self,
         method: Method,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Starts the process of an entry with its settings file; what it writes is added to `log`.
+/// Starts an entry process with a settings file and appends its output to `log`.
 pub(crate) fn spawn(settings: &path::Path, log: &path::Path) -> anyhow::Result<process::Child> {
     process::Command::new(programs::program_path("rhubarb-edge"))
         .env("RHUBARBLOOM_NODE_FILE", settings)
