--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a deployment.
+//! A process of a deployment.
 
 use std::{
     env, fs,
@@ -8,20 +8,20 @@
 
 use rustix::process as signals;
 
-/// A running process; it is killed when this is dropped.
+/// A running process, killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: process::Child,
     pid: signals::Pid,
-    /// Address for HTTP.
+    /// HTTP address.
     pub http: net::SocketAddr,
-    /// Address for entries, of an agent.
+    /// Address at which an agent accepts entries; `None` for other processes.
     pub peer: Option<net::SocketAddr>,
 }
 
-/// Path of a program of this workspace.
+/// Path of a binary of this workspace, in the build directory of the test binary.
 pub fn program_path(name: &str) -> path::PathBuf {
-    let mut dir = env::current_exe().expect("a test has a path");
+    let mut dir = env::current_exe().expect("the test binary has a path");
     dir.pop();
     if dir.ends_with("deps") {
         dir.pop();
@@ -30,10 +30,11 @@
 }
 
 impl Process {
-    /// Starts `name` and waits for the line that tells its addresses.
+    /// Starts the binary `name` and waits for the line on standard output that lists its
+    /// addresses. Standard error is appended to `log`.
     ///
     /// # Errors
-    /// Returns an error if the process cannot be started or ends early.
+    /// Returns an error if the process cannot be started or ends before it prints its addresses.
     pub fn start(name: &str, args: &[&str], log: &path::Path) -> anyhow::Result<Process> {
         let mut child = process::Command::new(program_path(name))
             .args(args)
@@ -45,19 +46,19 @@
         let stdout = child.stdout.take().expect("standard output is piped");
         let mut line = String::new();
         io::BufReader::new(stdout).read_line(&mut line)?;
-        let find = |key: &str| {
-            let word = line.split_whitespace().find_map(|word| word.strip_prefix(key));
-            word.and_then(|address| address.parse().ok())
+        let find_address = |key: &str| {
+            let value = line.split_whitespace().find_map(|word| word.strip_prefix(key));
+            value.and_then(|address| address.parse().ok())
         };
-        let Some(http) = find("http=") else {
-            anyhow::bail!("{name} ended early: {}", fs::read_to_string(log)?);
+        let Some(http) = find_address("http=") else {
+            anyhow::bail!("{name} did not print its addresses: {}", fs::read_to_string(log)?);
         };
         let pid = signals::Pid::from_child(&child);
-        Ok(Process { child, pid, http, peer: find("peer=") })
+        Ok(Process { child, pid, http, peer: find_address("peer=") })
     }
 
     fn signal(&self, signal: signals::Signal) {
-        signals::kill_process(self.pid, signal).expect("the process is there");
+        signals::kill_process(self.pid, signal).expect("the process is running");
     }
 
     /// Kills the process.
@@ -66,22 +67,22 @@
         let _ = self.child.wait();
     }
 
-    /// Freezes the process.
+    /// Suspends the process with `SIGSTOP`.
     pub fn freeze(&self) {
         self.signal(signals::Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with `SIGCONT`.
     pub fn thaw(&self) {
         self.signal(signals::Signal::CONT);
     }
 
-    /// Asks the process to stop.
+    /// Starts a graceful shutdown with `SIGTERM`.
     pub fn terminate(&self) {
         self.signal(signals::Signal::TERM);
     }
 
-    /// Whether the process has ended, and its exit code.
+    /// Exit code, once the process has ended; -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
