--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starts whole deployments on loopback, as separate processes, for the end-to-end tests.
+//! Starts complete deployments as separate processes on loopback, for the end-to-end tests.
 //!
 //! ```no_run
 //! # async fn example() -> anyhow::Result<()> {
