--- a/crates/e2e/src/relay.rs
+++ b/crates/e2e/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay between an entry and an agent that can cut, hold or silence what passes.
+//! A TCP and UDP relay that injects connection faults between an entry and an agent, server or
+//! store.
 
 use std::{
     collections::{self, btree_map},
@@ -13,31 +14,31 @@
 
 use rhubarb_node::server;
 
-/// What a relay does with the bytes of one direction.
+/// What a relay does with the TCP bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards them.
     #[default]
     Forward,
-    /// Keeps them until the mode changes.
+    /// Buffers them until the mode changes.
     Buffer,
 }
 
-/// Modes of both directions.
+/// Modes of both directions, and counts of the faults injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Modes {
-    /// From the entry to the agent.
+    /// Mode from the entry to the target.
     pub to_agent: Mode,
-    /// From the agent to the entry.
+    /// Mode from the target to the entry.
     pub to_entry: Mode,
     blackholes: u64,
     disconnects: u64,
 }
 
-/// A relay on a port of its own.
+/// A relay that listens on its own port.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Address that stands in the instance list.
+    /// Address to publish in place of the target.
     pub address: net::SocketAddr,
     modes: sync::Arc<watch::Sender<Modes>>,
 }
@@ -45,7 +46,7 @@
 const BUFFER_BYTES: usize = 16 * 1024;
 
 impl Relay {
-    /// Starts a relay to `target`.
+    /// Starts a relay on a free loopback port that forwards to `target`.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -74,7 +75,7 @@
         });
     }
 
-    /// Makes open connections silent for good; new ones work.
+    /// Stops forwarding on all open connections without closing them; new connections work.
     pub fn blackhole(&self) {
         self.modes.send_modify(|modes| modes.blackholes += 1);
     }
@@ -85,7 +86,7 @@
     }
 }
 
-// Datagrams pass whatever the modes are.
+// Datagrams are forwarded regardless of the modes.
 async fn forward_datagrams(socket: tcp::UdpSocket, target: net::SocketAddr) {
     let socket = sync::Arc::new(socket);
     let mut entries = collections::BTreeMap::new();
@@ -93,12 +94,12 @@
     while let Ok((length, entry)) = socket.recv_from(&mut buffer).await {
         let upstream = match entries.entry(entry) {
             btree_map::Entry::Occupied(known) => known.into_mut(),
-            btree_map::Entry::Vacant(slot) => {
+            btree_map::Entry::Vacant(vacant) => {
                 let local = (net::Ipv4Addr::LOCALHOST, 0);
                 let Ok(upstream) = tcp::UdpSocket::bind(local).await else { return };
                 let upstream = sync::Arc::new(upstream);
                 tokio::spawn(forward_replies(socket.clone(), upstream.clone(), entry));
-                slot.insert(upstream)
+                vacant.insert(upstream)
             }
         };
         let _ = upstream.send_to(&buffer[..length], target).await;
