--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -1,4 +1,5 @@
-//! A deployment on the users' platform: its store and servers as stand-ins, entries as processes.
+//! A deployment on the users' platform: entry processes with a fake store and fake backend
+//! servers.
 
 use std::{collections, env, fs, net, path, process, sync::atomic, time};
 
@@ -8,10 +9,10 @@
 
 use crate::{call, edge, relay};
 
-/// A running deployment.
+/// A running deployment. Its entries are killed on drop.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's store.
+    /// Fake store of the platform.
     pub store: store::Store,
     /// Plain servers.
     pub plain: Vec<backend::Backend>,
@@ -19,19 +20,19 @@
     pub prefill: Vec<backend::Backend>,
     /// Decode engines.
     pub decode: Vec<backend::Backend>,
-    /// Relays before the servers, by the servers' ids.
+    /// Relays in front of the servers, by server id.
     pub relays: collections::BTreeMap<String, relay::Relay>,
-    /// Entries.
+    /// Entry processes.
     pub edges: Vec<edge::Edge>,
     handles: backend::Handles,
     dir: path::PathBuf,
     subnet: [u8; 2],
 }
 
-/// Sizes of a deployment.
+/// Number of processes and servers of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Entries.
+    /// Entry processes.
     pub edges: usize,
     /// Plain servers.
     pub plain: usize,
@@ -49,32 +50,32 @@
     }
 }
 
-/// Most servers at which one request may run.
+/// Maximum number of servers that may run one request.
 pub const MAX_ATTEMPTS: u32 = 2;
-/// Longest time of a plain call.
+/// Timeout of a plain request.
 pub const PLAIN_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// Longest time of a stream.
+/// Timeout of a streaming request.
 pub const STREAM_TIMEOUT: time::Duration = time::Duration::from_secs(6);
-/// Paths of the routes in [`Site::config`].
+/// Path on the route in [`Site::config`] whose requests may be retried.
 pub const SAFE: &str = "/safe/x";
-/// Route whose requests run at most once.
+/// Path on the route whose requests run at most once.
 pub const UNSAFE: &str = "/unsafe/x";
-/// Route of streams that may be resumed.
+/// Path on the route whose streams may be resumed.
 pub const RESUMABLE: &str = "/resumable/x";
-/// Route of streams that run at most once.
+/// Path on the route whose streams run at most once.
 pub const STREAM: &str = "/stream/x";
 
-/// Time for which an engine keeps memory that nobody takes up.
+/// Time after which an engine releases an unused hold.
 pub const HOLD_LIFETIME: time::Duration = time::Duration::from_secs(2);
 
 const START_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Site {
-    /// Starts the stand-ins and the entries, and waits until these are ready.
+    /// Starts the fakes and the entries, and waits until the entries are ready.
     ///
     /// # Errors
-    /// Returns what could not be started.
+    /// Returns an error if a process or fake cannot be started.
     pub async fn start(sizes: Sizes) -> anyhow::Result<Site> {
         let mut site = Site::prepare(sizes).await?;
         for _ in 0..sizes.edges {
@@ -84,10 +85,10 @@
         Ok(site)
     }
 
-    /// Starts the stand-ins only.
+    /// Starts the fakes only.
     ///
     /// # Errors
-    /// Returns what could not be started.
+    /// Returns an error if a fake cannot be started.
     pub async fn prepare(sizes: Sizes) -> anyhow::Result<Site> {
         static COUNT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
         let subnet =
@@ -122,8 +123,8 @@
         Ok(site)
     }
 
-    fn ip(&self, last: u8) -> net::IpAddr {
-        [127, self.subnet[0], self.subnet[1], last].into()
+    fn ip(&self, host: u8) -> net::IpAddr {
+        [127, self.subnet[0], self.subnet[1], host].into()
     }
 
     /// All servers.
@@ -131,7 +132,7 @@
         self.plain.iter().chain(&self.prefill).chain(&self.decode).cloned().collect()
     }
 
-    /// Writes the entry of a server with `state` in the store.
+    /// Writes the row of a server to the store, with `state`.
     pub fn announce(&self, backend: &backend::Backend, state: &str) {
         let Some(address) = backend.address() else { return };
         let relay = self.relays.get(&backend.id).map(|relay| relay.address);
@@ -140,7 +141,8 @@
         self.store.put("servers", &backend.id, row.to_string());
     }
 
-    /// Puts a relay with a new address before a server; the old one passes nothing any more.
+    /// Puts a relay with a new address in front of a server. The old relay drops its connections
+    /// and forwards nothing on new ones.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// Starts an entry that has ended again, with its settings.
+    /// Kills an entry that still runs and starts it again with the same settings.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started.
@@ -165,14 +167,15 @@
         Ok(())
     }
 
-    /// Routes and services as version `version`.
+    /// Routes and services of config version `version`. Each version adds a route for
+    /// [`version_host`].
     pub fn config(&self, version: u64) -> serde_json::Value {
         let route = |name: &str, kind: &str, service: &str, resumable: bool| {
             let is_stream = kind == "streaming";
-            let limit = if is_stream { STREAM_TIMEOUT } else { PLAIN_TIMEOUT };
+            let timeout = if is_stream { STREAM_TIMEOUT } else { PLAIN_TIMEOUT };
             json!({
                 "name": name, "host": call::HOST, "prefix": format!("/{name}/"), "kind": kind,
-                "timeout_ms": limit.as_millis() as u64, "target_latency_ms": 300,
+                "timeout_ms": timeout.as_millis() as u64, "target_latency_ms": 300,
                 "priority": 1, "service": service, "max_attempts": MAX_ATTEMPTS, "resumable": resumable,
                 "sticky": is_stream,
             })
@@ -203,7 +206,7 @@
         })
     }
 
-    /// Puts a relay between the store and the entries that are added from now on.
+    /// Puts a relay between the store and the entries started from now on.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -214,10 +217,10 @@
         Ok(relay)
     }
 
-    /// Address of the store, once an entry was started.
+    /// Address at which entries reach the store.
     ///
     /// # Errors
-    /// Returns an error if it is not served yet.
+    /// Returns an error if the store is not served before the first entry starts.
     pub fn store_address(&self) -> anyhow::Result<net::SocketAddr> {
         Ok(fs::read_to_string(self.dir.join("store"))?.parse()?)
     }
@@ -232,7 +235,7 @@
         Ok(address)
     }
 
-    /// Starts one more entry.
+    /// Starts another entry.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started.
@@ -263,7 +266,7 @@
     /// Waits until all entries are ready.
     ///
     /// # Errors
-    /// Returns an error if one does not become ready in time.
+    /// Returns an error if an entry is not ready within the start timeout.
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
         let deadline = time::Instant::now() + START_TIMEOUT;
         for edge in &self.edges {
@@ -276,28 +279,28 @@
         Ok(())
     }
 
-    /// All attempts that ran at any server, with how often.
+    /// Number of times that the request with the attempt id `attempt` ran, over all servers.
     pub fn runs(&self, attempt: &str) -> u32 {
         let all = self.plain.iter().chain(&self.prefill).chain(&self.decode);
         all.map(|backend| backend.runs().get(attempt).copied().unwrap_or(0)).sum()
     }
 
-    /// Requests that run at any server now, and what engines keep for others.
+    /// Number of requests that run on engines, and of holds and prefill results not released.
     pub fn outstanding(&self) -> usize {
         self.outstanding_since(None)
     }
 
-    /// The same without what the platform's engines have dropped by themselves, as they do after
-    /// [`HOLD_LIFETIME`].
+    /// Like [`Site::outstanding`], without holds and prefill results older than
+    /// [`HOLD_LIFETIME`], which the platform's engines release by themselves.
     pub fn outstanding_unexpired(&self) -> usize {
         self.outstanding_since(time::Instant::now().checked_sub(HOLD_LIFETIME))
     }
 
     fn outstanding_since(&self, oldest: Option<time::Instant>) -> usize {
         let engines = self.prefill.iter().chain(&self.decode);
-        let held = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
+        let on_engines = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
         let handles = rhubarb_node::locks::lock(&self.handles);
-        held.sum::<usize>() + backend::count_since(&handles, oldest)
+        on_engines.sum::<usize>() + backend::count_since(&handles, oldest)
     }
 }
 
@@ -308,7 +311,7 @@
     }
 }
 
-// The entry of a server in the store.
+// Row of a server in the `servers` table of the store.
 fn server_row(backend: &backend::Backend, address: net::SocketAddr) -> serde_json::Value {
     let (stage, _) = backend.stage();
     let service = if stage.is_empty() { "plain" } else { "models" };
@@ -323,12 +326,12 @@
     row
 }
 
-/// Host whose route came with version `version` of the config.
+/// Host of the route that config version `version` adds.
 pub fn version_host(version: u64) -> String {
     format!("v{version}.example")
 }
 
-/// The whole stream that engines send.
+/// Body of a complete stream, as the fake engines send it.
 pub fn full_stream() -> String {
     (0..backend::EVENTS).map(|number| format!("id: {number}\ndata: token-{number}\n\n")).collect()
 }
