--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -1,4 +1,4 @@
-//! A whole deployment.
+//! A complete deployment of entries, agents and fakes.
 
 use std::{collections, env, fs, net, path, process as os, time};
 
@@ -10,18 +10,18 @@
 
 use crate::{caller, process, relay};
 
-/// What to start.
+/// Processes of a stack and their settings.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Number of entries.
+    /// Number of entry processes.
     pub entries: usize,
-    /// Service list.
+    /// Service list to apply.
     pub list: String,
     /// Whether entries reach the agents through relays.
     pub relays: bool,
-    /// Time between two usage records.
+    /// Interval between usage records, as a setting.
     pub flush_interval: String,
-    /// Most bytes of answers that an agent keeps.
+    /// Maximum size in bytes of the responses that an agent stores.
     pub answer_bytes: usize,
 }
 
@@ -37,21 +37,22 @@
     }
 }
 
-/// The demo's list with another retry window and longest deadline.
+/// The example service list with `window` as its retry window and `deadline` as its longest
+/// deadline.
 pub fn service_list(window: &str, deadline: &str) -> String {
     include_str!("../../../examples/list.ini").replace("10m", window).replace("60s", deadline)
 }
 
-/// A running deployment; its processes are killed when this is dropped.
+/// A running deployment. Its processes are killed and its files removed on drop.
 #[derive(Debug)]
 pub struct Stack {
-    /// Stand-ins.
+    /// Fake platform and backend servers, in one process.
     pub fakes: process::Process,
-    /// Entries by number.
+    /// Entries, in the order of their start.
     pub entries: Vec<process::Process>,
-    /// Agents by server.
+    /// Agents, by server name.
     pub agents: collections::BTreeMap<String, process::Process>,
-    /// Relays by server.
+    /// Relays in front of the agents, by server name.
     pub relays: collections::BTreeMap<String, relay::Relay>,
     plan: Plan,
     dir: path::PathBuf,
@@ -67,10 +68,10 @@
 const PLAIN_SERVERS: [&str; 3] = ["yard-1", "yard-2", "yard-3"];
 
 impl Stack {
-    /// Starts everything and waits until it is ready.
+    /// Starts all processes, applies the list and waits until every process is ready.
     ///
     /// # Errors
-    /// Returns an error if a process does not start.
+    /// Returns an error if a process does not start or the list is rejected.
     pub async fn start(plan: Plan) -> anyhow::Result<Stack> {
         let stack = Stack::start_without_list(plan).await?;
         let list = stack.plan.list.clone();
@@ -79,7 +80,7 @@
         Ok(stack)
     }
 
-    /// Starts all processes, and applies no list.
+    /// Starts all processes without a service list.
     ///
     /// # Errors
     /// Returns an error if a process does not start.
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Waits until every entry can use all servers.
+    /// Waits until every entry counts all servers as usable.
     pub async fn wait_usable(&self) {
         let count = ENGINE_SERVERS.len() + PLAIN_SERVERS.len();
         for address in self.entries.iter().map(|entry| entry.http) {
@@ -130,18 +131,18 @@
         }
     }
 
-    /// Stops the agent of `server` in order and waits for its end.
+    /// Stops the agent of `server` gracefully and waits until it exits.
     pub async fn stop_agent(&mut self, server: &str) {
         self.agents[server].terminate();
         self.wait_agent_exit(server).await;
     }
 
-    /// Exit code of the agent of `server`, once it has ended.
+    /// Waits until the agent of `server` exits and returns its exit code.
     pub async fn wait_agent_exit(&mut self, server: &str) -> i32 {
         wait_exit(self.agents.get_mut(server).expect("the agent was started")).await
     }
 
-    /// Exit code of an entry, once it has ended.
+    /// Waits until an entry exits and returns its exit code.
     pub async fn wait_entry_exit(&mut self, entry: usize) -> i32 {
         wait_exit(&mut self.entries[entry]).await
     }
@@ -151,7 +152,7 @@
         self.client.get(&url, REQUEST_TIMEOUT).await.is_ok_and(|reply| reply.status == 200)
     }
 
-    /// Starts the agent of `server`, in place of an earlier one, and registers it.
+    /// Starts the agent of `server` and registers it. An earlier agent is killed first.
     ///
     /// # Errors
     /// Returns an error if the process does not start.
@@ -187,7 +188,7 @@
         Ok(())
     }
 
-    /// Starts one more entry and registers it.
+    /// Starts another entry and registers it.
     ///
     /// # Errors
     /// Returns an error if the process does not start.
@@ -235,10 +236,10 @@
         Ok(path.to_string_lossy().into_owned())
     }
 
-    /// Enters an instance in the platform's list.
+    /// Adds an instance to the instance list of the platform.
     ///
     /// # Errors
-    /// Returns an error if the stand-in does not answer.
+    /// Returns an error if the fake platform does not respond.
     pub async fn register(
         &self,
         name: &str,
@@ -259,10 +260,10 @@
         Ok(())
     }
 
-    /// Lets the platform's list say that a server is leaving.
+    /// Marks a server as leaving in the instance list of the platform.
     ///
     /// # Errors
-    /// Returns an error if the stand-in does not answer.
+    /// Returns an error if the fake platform does not respond.
     pub async fn mark_leaving(&self, server: &str) -> anyhow::Result<()> {
         let agent = &self.agents[server];
         let row = json!({
@@ -277,47 +278,47 @@
         Ok(())
     }
 
-    /// Takes an instance out of the platform's list.
+    /// Removes an instance from the instance list of the platform.
     ///
     /// # Errors
-    /// Returns an error if the stand-in does not answer.
+    /// Returns an error if the fake platform does not respond.
     pub async fn unregister(&self, name: &str) -> anyhow::Result<()> {
         self.control(Method::DELETE, &format!("/instances/{name}"), "").await?;
         Ok(())
     }
 
-    /// Sets the mode of a stand-in.
+    /// Sets the fault mode of a fake, such as `down` for `table`.
     ///
     /// # Errors
-    /// Returns an error if the stand-in does not answer.
+    /// Returns an error if the fake platform does not respond.
     pub async fn switch(&self, target: &str, mode: &str) -> anyhow::Result<()> {
         self.control(Method::POST, "/switch", &format!("{target} {mode}")).await?;
         Ok(())
     }
 
-    /// Runs of an idempotency key at the backend servers.
+    /// Number of times that the backend servers ran an idempotency key.
     pub async fn runs(&self, key: &str) -> u64 {
         self.control_count(&format!("/runs/{key}")).await
     }
 
-    /// Requests that engine memory holds.
+    /// Number of requests that occupy engine memory.
     pub async fn requests_in_memory(&self) -> u64 {
         self.control_count("/held").await
     }
 
     async fn control_count(&self, path: &str) -> u64 {
-        let reply = self.control(Method::GET, path, "").await.expect("the stand-ins answer");
-        reply.parse().expect("a bare number")
+        let reply = self.control(Method::GET, path, "").await.expect("the fakes respond");
+        reply.parse().expect("the response is a number")
     }
 
-    async fn control(&self, method: Method, path: &str, content: &str) -> anyhow::Result<String> {
+    async fn control(&self, method: Method, path: &str, body: &str) -> anyhow::Result<String> {
         let url = format!("http://{}{path}", self.fakes.http);
-        let request = client::request(method, &url, Bytes::from(content.to_string()))?;
+        let request = client::request(method, &url, Bytes::from(body.to_string()))?;
         let reply = self.client.fetch(request, REQUEST_TIMEOUT).await?;
         Ok(String::from_utf8_lossy(&reply.body).into_owned())
     }
 
-    /// State of a process, as its `/status` shows it.
+    /// Response of `/status` of a process; null if it does not respond.
     pub async fn status(&self, address: net::SocketAddr) -> serde_json::Value {
         let reply = self.client.get(&format!("http://{address}/status"), REQUEST_TIMEOUT).await;
         reply
@@ -325,25 +326,25 @@
             .unwrap_or_default()
     }
 
-    /// Metrics of a process.
+    /// Metrics of a process; empty if it does not respond.
     pub async fn metrics(&self, address: net::SocketAddr) -> String {
         let reply = self.client.get(&format!("http://{address}/metrics"), REQUEST_TIMEOUT).await;
         reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned()).unwrap_or_default()
     }
 
-    /// Applies a list with the operator's command.
+    /// Applies a service list with `rhubarb-ctl apply`; `expect` is the version in force.
     ///
     /// # Errors
-    /// Returns what the command printed if it failed.
+    /// Returns the exit code and standard error of the command if it failed.
     pub fn apply(&self, text: &str, expect: u64) -> anyhow::Result<String> {
         let list = self.write_file("list.ini", text)?;
         self.ctl(&["apply", "--expect", &expect.to_string(), &list])
     }
 
-    /// Runs the operator's command; the settings are added after its first word.
+    /// Runs `rhubarb-ctl`, with `--settings` inserted after the first argument.
     ///
     /// # Errors
-    /// Returns the exit code and what the command printed if it failed.
+    /// Returns the exit code and standard error of the command if it failed.
     pub fn ctl(&self, args: &[&str]) -> anyhow::Result<String> {
         let settings = self.render_settings(include_str!("../../../examples/ctl.ini"), &[]);
         let path = self.write_file("ctl.ini", &settings)?;
@@ -355,10 +356,10 @@
         checked_stdout(&output)
     }
 
-    /// Report of the last and the next hour.
+    /// Usage report from one hour ago to one hour ahead.
     ///
     /// # Errors
-    /// Returns what the command printed if it failed.
+    /// Returns the exit code and standard error of the command if it failed.
     pub fn report(&self) -> anyhow::Result<serde_json::Value> {
         let settings = self.render_settings(include_str!("../../../examples/ctl.ini"), &[]);
         let path = self.write_file("report.ini", &settings)?;
@@ -371,12 +372,12 @@
         Ok(serde_json::from_str(&checked_stdout(&output)?)?)
     }
 
-    /// Caller of an entry.
+    /// Client of an entry with the key of the example caller.
     pub fn caller(&self, entry: usize) -> caller::Caller {
         caller::Caller::new(self.entries[entry].http, CALLER_KEY)
     }
 
-    /// Server that is the home of a key of the demo's caller at a service.
+    /// Server that owns an idempotency key of the example caller at a service.
     pub fn owner(&self, service: &str, key: &str) -> String {
         let servers = if service == "yard-app" { &PLAIN_SERVERS[..] } else { &ENGINE_SERVERS[2..] };
         let names: Vec<String> = servers.iter().map(|name| name.to_string()).collect();
@@ -384,25 +385,25 @@
         rhubarb_core::home::rank(hash, &names)[0].clone()
     }
 
-    /// A key whose home is `server`; `salt` tells apart the keys of one test.
+    /// An idempotency key owned by `server`; `salt` distinguishes the keys of one test.
     pub fn key_owned_by(&self, server: &str, salt: &str) -> String {
         let keys = (0..).map(|number| format!("{salt}-{number}"));
         let mut keys = keys.filter(|key| self.owner("yard-app", key) == server);
-        keys.next().expect("every server is the home of some key")
+        keys.next().expect("every server owns some key")
     }
 
-    /// Waits until `check` holds.
+    /// Waits until `check` returns true.
     ///
     /// # Panics
-    /// Panics with `what` and the processes' logs if it does not hold in time.
+    /// Panics with `what` and the logs of all processes on a timeout.
     pub async fn wait_until(&self, what: &str, check: impl AsyncFn() -> bool) {
         self.wait_within(WAIT_TIMEOUT, what, check).await;
     }
 
-    /// Waits at most `limit` until `check` holds.
+    /// Waits at most `limit` until `check` returns true.
     ///
     /// # Panics
-    /// Panics with `what` and the processes' logs if it does not hold in time.
+    /// Panics with `what` and the logs of all processes on a timeout.
     pub async fn wait_within(
         &self,
         limit: time::Duration,
@@ -411,7 +412,7 @@
     ) {
         let start = time::Instant::now();
         while !check().await {
-            assert!(start.elapsed() < limit, "not in {limit:?}: {what}\n{}", self.logs());
+            assert!(start.elapsed() < limit, "timed out after {limit:?}: {what}\n{}", self.logs());
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -436,7 +437,7 @@
         if let Some(code) = process.exit_code() {
             return code;
         }
-        assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not end");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the process does not exit");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
