--- a/crates/e2e/tests/pages.rs
+++ b/crates/e2e/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' and callers' pages name what the code knows, and nothing else.
+//! The pages for operators and callers list exactly the names that the code defines.
 
 use std::collections;
 
@@ -10,16 +10,16 @@
 
 type Names = collections::BTreeSet<String>;
 
-/// Names in the first column of the table below the heading that starts with `heading`.
+/// Names in the first column of the table below `heading`.
 fn documented(page: &str, heading: &str) -> Names {
-    let after = page.split(heading).nth(1).unwrap_or_else(|| panic!("no {heading}"));
-    let table = after.lines().skip_while(|line| !line.starts_with("| `"));
+    let section = page.split(heading).nth(1).unwrap_or_else(|| panic!("no {heading}"));
+    let table = section.lines().skip_while(|line| !line.starts_with("| `"));
     let rows = table.take_while(|line| line.starts_with("| `"));
     rows.filter_map(|row| row.split('`').nth(1)).map(str::to_string).collect()
 }
 
-/// Fields that a message about an unknown field offers for `section`.
-fn offered(message: &str, section: &str) -> Names {
+/// Valid fields of `section`, as the error about an unknown field lists them.
+fn valid_fields(message: &str, section: &str) -> Names {
     let line = message.lines().find(|line| line.contains(&format!("[{section}] has an unknown")));
     let line = line.unwrap_or_else(|| panic!("{section} in {message}"));
     let fields = line.split("use one of: ").nth(1).unwrap_or_default();
@@ -35,7 +35,7 @@
         [("entry", &entry), ("agent", &agent), ("platform", &entry), ("log", &agent)]
     {
         let documented = documented(OPERATE, &format!("### `[{section}]`"));
-        assert_eq!(documented, offered(message, section), "[{section}]");
+        assert_eq!(documented, valid_fields(message, section), "[{section}]");
     }
 }
 
@@ -44,17 +44,17 @@
     let model = parse::parse_list("[service m]\nkind = model\nzzz = 1\n").unwrap_err();
     let plain = parse::parse_list("[service p]\nkind = plain\nzzz = 1\n").unwrap_err();
     let caller = parse::parse_list("[caller c]\nzzz = 1\n").unwrap_err();
-    let text = |mistakes: Vec<rhubarb_core::section::Mistake>| {
+    let join = |mistakes: Vec<rhubarb_core::section::Mistake>| {
         mistakes.iter().map(|mistake| format!("{mistake}\n")).collect::<String>()
     };
-    let mut service = offered(&text(model), "service m");
-    service.extend(offered(&text(plain), "service p"));
+    let mut service = valid_fields(&join(model), "service m");
+    service.extend(valid_fields(&join(plain), "service p"));
     assert_eq!(documented(OPERATE, "### `[service NAME]`"), service);
-    assert_eq!(documented(OPERATE, "### `[caller NAME]`"), offered(&text(caller), "caller c"));
+    assert_eq!(documented(OPERATE, "### `[caller NAME]`"), valid_fields(&join(caller), "caller c"));
 }
 
 #[test]
-fn reasons_named() {
+fn reasons_documented() {
     let known: Names = outcome::REASONS.iter().map(|reason| reason.name().to_string()).collect();
     assert_eq!(documented(CALLERS, "## Reasons"), known);
     for reason in outcome::REASONS {
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_named() {
+async fn metrics_documented() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut known = Names::new();
     for address in [stack.entries[0].http, stack.agents["yard-1"].http] {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn examples_sound() {
+fn examples_valid() {
     let entry = include_str!("../../../examples/entry.ini");
     let agent = include_str!("../../../examples/agent.ini");
     rhubarb_entry::settings::parse("entry.ini", entry).unwrap();
