--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path of model requests through separate processes.
+//! Model requests through entries, agents and engines as separate processes.
 
 use hyper::Method;
 
@@ -6,7 +6,7 @@
 use rhubarb_fakes::tokens;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_body() {
+async fn buffered_completion() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let reply = stack.caller(0).complete("grade lot 7", 12).await.unwrap();
     assert_eq!(reply.status, 200, "{}", reply.body);
@@ -17,35 +17,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streamed_body() {
+async fn streamed_completion() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(1).stream("long summary", 40).await.unwrap();
     assert_eq!(stream.read_to_end().await.unwrap(), tokens::answer("long summary", 40));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_form() {
+async fn chat_completion() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let content = r#"{"model":"clip-models","max_tokens":9,
+    let body = r#"{"model":"clip-models","max_tokens":9,
         "messages":[{"role":"user","content":"hello"}]}"#;
     let caller = stack.caller(0);
-    let reply = caller.call(Method::POST, "/v1/chat/completions", &[], content).await.unwrap();
+    let reply = caller.call(Method::POST, "/v1/chat/completions", &[], body).await.unwrap();
     assert_eq!(reply.status, 200, "{}", reply.body);
     let text = reply.json()["choices"][0]["message"]["content"].clone();
     assert_eq!(text, tokens::answer("user: hello\n", 9));
 }
 
-// Prompts that can no longer meet their target are refused, so a burst against the demo's
-// targets would depend on the pace of the machine.
-fn patient() -> stack::Plan {
+// Prompts that can no longer meet their latency target are rejected, so the result of a burst
+// against the example targets would depend on the speed of the machine.
+fn relaxed_targets() -> stack::Plan {
     let list = stack::service_list("10m", "60s");
     let list = list.replace("first_token = 460ms", "first_token = 30s");
     stack::Plan { list: list.replace("max_wait = 2s", "max_wait = 30s"), ..stack::Plan::default() }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_callers() {
-    let stack = stack::Stack::start(patient()).await.unwrap();
+async fn concurrent_callers() {
+    let stack = stack::Stack::start(relaxed_targets()).await.unwrap();
     let calls = (0..60).map(|number| {
         let caller = stack.caller(number % 2);
         tokio::spawn(async move {
@@ -61,14 +61,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cancel_frees() {
+async fn cancel_frees_memory() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(0).stream("long answer", 100_000).await.unwrap();
     stream.next().await.unwrap();
     assert!(stack.requests_in_memory().await > 0);
     drop(stream);
-    let limit = std::time::Duration::from_secs(3);
+    let timeout = std::time::Duration::from_secs(3);
     stack
-        .wait_within(limit, "engine memory is free", async || stack.requests_in_memory().await == 0)
+        .wait_within(timeout, "engine memory is free", async || {
+            stack.requests_in_memory().await == 0
+        })
         .await;
 }
