--- a/crates/e2e/tests/plain.rs
+++ b/crates/e2e/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls through separate processes.
+//! Plain calls through entries, agents and backend servers as separate processes.
 
 use hyper::Method;
 
@@ -6,21 +6,21 @@
 use rhubarb_fakes::plain;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn passes_through() {
+async fn request_forwarded() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let headers =
         [("x-custom", "wool"), ("connection", "x-private"), ("x-private", "1"), ("te", "gzip")];
     let path = "/yard-app/lots/7?page=2&all";
     let reply = stack.caller(0).call(Method::PUT, path, &headers, "bales").await.unwrap();
     assert_eq!(reply.status, 200, "{}", reply.body);
-    let got = reply.json();
-    assert_eq!(got["method"], "PUT");
-    assert_eq!(got["path"], "/lots/7");
-    assert_eq!(got["query"], "page=2&all");
-    assert_eq!(got["body"], "bales");
-    assert_eq!(got["custom"], "wool");
-    assert_eq!(got["connection"], serde_json::Value::Null);
-    assert_eq!(got["authorization"], serde_json::Value::Null);
+    let received = reply.json();
+    assert_eq!(received["method"], "PUT");
+    assert_eq!(received["path"], "/lots/7");
+    assert_eq!(received["query"], "page=2&all");
+    assert_eq!(received["body"], "bales");
+    assert_eq!(received["custom"], "wool");
+    assert_eq!(received["connection"], serde_json::Value::Null);
+    assert_eq!(received["authorization"], serde_json::Value::Null);
     assert_eq!(reply.header("x-served"), Some("yes"));
     assert_eq!(reply.header("keep-alive"), None);
 }
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn same_answer() {
+async fn repeated_key() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let first = stack.caller(0).confirm("lot-7").await.unwrap();
     let second = stack.caller(1).confirm("lot-7").await.unwrap();
@@ -46,13 +46,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn same_time() {
+async fn concurrent_key() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let (one, two) = (stack.caller(0), stack.caller(1));
-    let (one, two) =
-        tokio::join!(one.confirm_slowly("lot-8", 500), two.confirm_slowly("lot-8", 500));
-    let (one, two) = (one.unwrap(), two.unwrap());
-    let (ran, other) = if one.status == 200 { (one, two) } else { (two, one) };
+    let (first, second) = (stack.caller(0), stack.caller(1));
+    let (first, second) =
+        tokio::join!(first.confirm_slowly("lot-8", 500), second.confirm_slowly("lot-8", 500));
+    let (first, second) = (first.unwrap(), second.unwrap());
+    let (ran, other) = if first.status == 200 { (first, second) } else { (second, first) };
     assert_eq!(ran.status, 200, "{}", ran.body);
     assert_eq!((other.status, other.reason().as_str()), (409, "key-running"));
     assert_eq!(other.outcome(), Some("unknown"));
@@ -61,20 +61,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_typed() {
+async fn rejection_reasons() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let caller = stack.caller(0);
-    let stranger = rhubarb_e2e::caller::Caller::new(stack.entries[0].http, "wrong");
+    let unauthorized = rhubarb_e2e::caller::Caller::new(stack.entries[0].http, "wrong");
     let get = |path: &'static str| {
         let caller = caller.clone();
         async move { caller.call(Method::GET, path, &[], "").await.unwrap() }
     };
-    let post = |path: &'static str, content: &'static str| {
+    let post = |path: &'static str, body: &'static str| {
         let caller = caller.clone();
-        async move { caller.call(Method::POST, path, &[], content).await.unwrap() }
+        async move { caller.call(Method::POST, path, &[], body).await.unwrap() }
     };
-    let no_key = stranger.call(Method::GET, "/yard-app/x", &[], "").await.unwrap();
-    let odd = caller.call(Method::GET, "/yard-app/x", &[("rhubarb-deadline-ms", "soon")], "");
+    let no_key = unauthorized.call(Method::GET, "/yard-app/x", &[], "").await.unwrap();
+    let invalid_deadline =
+        caller.call(Method::GET, "/yard-app/x", &[("rhubarb-deadline-ms", "soon")], "");
     let cases = [
         (no_key, 401, "unknown-caller"),
         (get("/nowhere/x").await, 404, "no-service"),
@@ -83,7 +84,7 @@
         (post("/v1/completions", r#"{"model":"clip-models"}"#).await, 400, "bad-request"),
         (post("/v1/completions", r#"{"model":"m","prompt":"p"}"#).await, 404, "no-service"),
         (post("/yard-app/confirm", "{}").await, 422, "key-missing"),
-        (odd.await.unwrap(), 400, "bad-request"),
+        (invalid_deadline.await.unwrap(), 400, "bad-request"),
     ];
     for (reply, status, reason) in cases {
         assert_eq!((reply.status, reply.reason().as_str()), (status, reason), "{}", reply.body);
