--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests on the platform: routes, limits, and what each fault of a server leads to.
+//! Plain requests on the platform: routes, limits and the response to each server fault.
 
 use std::time;
 
@@ -10,7 +10,7 @@
 use backend::Fault;
 
 #[tokio::test]
-async fn passed_unchanged() -> anyhow::Result<()> {
+async fn forwarded_unchanged() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     let forged = [("x-stage", "prefill"), ("x-kv-source", "10.0.0.1:1/h"), ("x-other", "kept")];
     let path = "/unsafe/a%20b?c=%2F&d";
@@ -27,18 +27,18 @@
 }
 
 #[tokio::test]
-async fn own_refusals() -> anyhow::Result<()> {
+async fn local_rejections() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     let edge = &site.edges[0];
-    let none = edge.call(Method::GET, "/none/x", "a1", "").await?;
-    assert_eq!(none.status, 404);
-    let large = edge.call(Method::POST, site::UNSAFE, "a2", &"x".repeat(70_000)).await?;
-    assert_eq!(large.status, 413);
+    let no_route = edge.call(Method::GET, "/none/x", "a1", "").await?;
+    assert_eq!(no_route.status, 404);
+    let too_large = edge.call(Method::POST, site::UNSAFE, "a2", &"x".repeat(70_000)).await?;
+    assert_eq!(too_large.status, 413);
     assert_eq!(site.runs("a1") + site.runs("a2"), 0);
     Ok(())
 }
 
-// What a caller gets while every server has the fault, and how often the request ran.
+// Status that the caller receives while every server has the fault, and number of runs.
 #[tokio::test]
 async fn fault_table() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
@@ -65,15 +65,15 @@
         let reply = site.edges[0].call(Method::POST, path, &attempt, "body").await?;
         assert_eq!(reply.status, status, "{fault:?} {path}");
         assert_eq!(site.runs(&attempt), runs, "{fault:?} {path}: {}", site.edges[0].log());
-        let is_promise = reply.headers.contains_key("retry-after");
-        assert_eq!(is_promise, status == 503, "{fault:?} {path}");
+        let has_retry_after = reply.headers.contains_key("retry-after");
+        assert_eq!(has_retry_after, status == 503, "{fault:?} {path}");
         assert!(reply.taken < time::Duration::from_millis(2_000), "{fault:?}: {:?}", reply.taken);
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn other_server_serves() -> anyhow::Result<()> {
+async fn retried_elsewhere() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     for (number, fault) in [Fault::Sheds, Fault::Moved].into_iter().enumerate() {
         site.plain[0].set_fault(fault);
@@ -87,29 +87,30 @@
     Ok(())
 }
 
-// Found by a hunt: bytes of a request that was given up behind a cut arrived after it had healed.
+// Guards against bytes of an abandoned request that arrive once a network partition heals. They
+// stay in the socket of a connection that is closed instead of reset.
 #[tokio::test]
-async fn given_up_discarded() -> anyhow::Result<()> {
+async fn abandoned_connection_reset() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
-    let mute = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     let text = site.store.get("servers", "i-plain-0").unwrap();
-    let mut entry: serde_json::Value = serde_json::from_slice(&text)?;
-    entry["address"] = serde_json::json!(mute.local_addr()?);
+    let mut row: serde_json::Value = serde_json::from_slice(&text)?;
+    row["address"] = serde_json::json!(listener.local_addr()?);
     site.store.remove("servers", "i-plain-1");
     site.store.remove("servers", "i-plain-0");
-    site.store.put("servers", "i-mute", entry.to_string());
+    site.store.put("servers", "i-mute", row.to_string());
     tokio::time::sleep(time::Duration::from_millis(300)).await;
     let call = site.edges[0].call(Method::POST, site::UNSAFE, "a1", "body");
-    let silent = async {
-        let (mut stream, _) = mute.accept().await?;
+    let server = async {
+        let (mut stream, _) = listener.accept().await?;
         let mut bytes = Vec::new();
         tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut bytes).await?;
-        // The end is followed by a reset; after an orderly close the first write is accepted.
+        // A reset follows the end of the stream; after an orderly close the first write succeeds.
         tokio::time::sleep(time::Duration::from_millis(100)).await;
         tokio::io::AsyncWriteExt::write_all(&mut stream, b"late").await
     };
-    let (reply, ended) = tokio::join!(call, silent);
+    let (reply, written) = tokio::join!(call, server);
     assert_eq!(reply?.status, 504);
-    assert!(ended.is_err(), "the connection was not reset");
+    assert!(written.is_err(), "the connection was not reset");
     Ok(())
 }
