--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -87,8 +87,8 @@
     Ok(())
 }
 
-// Guards against bytes of an abandoned request that arrive once a network partition heals. They
-// stay in the socket of a connection that is closed instead of reset.
+// Guards against bytes of an abandoned request that arrive once a network partition heals: unsent
+// bytes are still delivered after an orderly close, but dropped by a reset.
 #[tokio::test]
 async fn abandoned_connection_reset() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
