--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: outages, history, entries that cannot be read, and peers instead of it.
+//! The platform store: outages, compacted history, invalid rows, and peers as a fallback.
 
 use std::time;
 
@@ -14,9 +14,9 @@
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
-async fn served_within(site: &site::Site, edge: usize, path: &str, limit: u64) -> bool {
-    let until = time::Instant::now() + time::Duration::from_millis(limit);
-    while time::Instant::now() < until {
+async fn served_within(site: &site::Site, edge: usize, path: &str, timeout_ms: u64) -> bool {
+    let deadline = time::Instant::now() + time::Duration::from_millis(timeout_ms);
+    while time::Instant::now() < deadline {
         if is_served(site, edge, path).await {
             return true;
         }
@@ -25,8 +25,8 @@
     false
 }
 
-// A config with one more route.
-fn longer_config(site: &site::Site, version: u64) -> String {
+// Config of `version` with an extra route, `/added/`.
+fn config_with_route(site: &site::Site, version: u64) -> String {
     let mut config = site.config(version);
     let mut route = config["routes"][0].clone();
     route["name"] = json!("added");
@@ -36,10 +36,10 @@
 }
 
 #[tokio::test]
-async fn change_in_force() -> anyhow::Result<()> {
+async fn config_applied() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     assert!(!is_served(&site, 0, "/added/x").await);
-    site.store.put("op", "config", longer_config(&site, 5));
+    site.store.put("op", "config", config_with_route(&site, 5));
     assert!(served_within(&site, 0, "/added/x", 2_000).await);
     site.store.put("op", "config", site.config(3).to_string());
     tokio::time::sleep(time::Duration::from_millis(300)).await;
@@ -48,16 +48,16 @@
 }
 
 #[tokio::test]
-async fn history_gone() -> anyhow::Result<()> {
+async fn history_compacted() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.store.compact();
-    site.store.put("op", "config", longer_config(&site, 5));
+    site.store.put("op", "config", config_with_route(&site, 5));
     assert!(served_within(&site, 0, "/added/x", 2_000).await);
     Ok(())
 }
 
 #[tokio::test]
-async fn outages_served() -> anyhow::Result<()> {
+async fn serves_during_outage() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     for mode in [store::Mode::Busy, store::Mode::Silent, store::Mode::Lost] {
         site.store.set_mode(mode);
@@ -66,20 +66,20 @@
         assert!(site.edges[0].is_ready().await, "{mode:?}");
         site.store.set_mode(store::Mode::Up);
     }
-    site.store.put("op", "config", longer_config(&site, 5));
-    assert!(served_within(&site, 0, "/added/x", 4_000).await, "the store is back");
+    site.store.put("op", "config", config_with_route(&site, 5));
+    assert!(served_within(&site, 0, "/added/x", 4_000).await, "no update after the outage");
     Ok(())
 }
 
 #[tokio::test]
-async fn away_at_start() -> anyhow::Result<()> {
+async fn start_during_outage() -> anyhow::Result<()> {
     let mut site = site::Site::prepare(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     site.add_edge().await?;
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     assert!(!site.edges[0].is_ready().await);
     let reply = site.edges[0].call(Method::GET, site::SAFE, "a1", "").await?;
-    assert_eq!(reply.status, 503, "an entry without a config promises that nothing ran");
+    assert_eq!(reply.status, 503, "an entry without a config reports that nothing ran");
     site.store.set_mode(store::Mode::Up);
     site.wait_ready().await?;
     assert!(is_served(&site, 0, site::SAFE).await);
@@ -87,8 +87,8 @@
 }
 
 #[tokio::test]
-async fn learned_from_peer() -> anyhow::Result<()> {
-    // The second entry starts while the store answers nobody; the first one knows enough.
+async fn state_from_peer() -> anyhow::Result<()> {
+    // The second entry starts while the store is down, and copies the state of the first.
     let mut site = site::Site::start(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     tokio::time::sleep(time::Duration::from_millis(300)).await;
@@ -103,28 +103,28 @@
 async fn leaving_server() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     let text = site.store.get("servers", "i-plain-0").unwrap();
-    let mut entry: serde_json::Value = serde_json::from_slice(&text)?;
-    entry["state"] = json!("draining");
-    site.store.put("servers", "i-plain-0", entry.to_string());
+    let mut row: serde_json::Value = serde_json::from_slice(&text)?;
+    row["state"] = json!("draining");
+    site.store.put("servers", "i-plain-0", row.to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     let before = site.plain[0].seen().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, site::SAFE).await);
     }
-    // Answers tell a load; they do not make a leaving server usable again.
+    // Responses report the load of a server, but do not make a leaving server usable again.
     assert_eq!(site.plain[0].seen().len(), before);
     Ok(())
 }
 
 #[tokio::test]
-async fn unreadable_entries() -> anyhow::Result<()> {
+async fn invalid_rows() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.store.put("servers", "i-ghost", "not an entry");
     site.store.put("servers", "i-plain-1", json!({"service": "plain"}).to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     let before = site.plain[1].seen().len();
     for _ in 0..10 {
-        assert!(is_served(&site, 0, site::SAFE).await, "the other entries hold");
+        assert!(is_served(&site, 0, site::SAFE).await, "the valid rows stay in use");
     }
     assert_eq!(site.plain[1].seen().len(), before);
     assert!(site.edges[0].log().contains("entry not used"));
@@ -132,8 +132,9 @@
 }
 
 #[tokio::test]
-async fn orders_fenced() -> anyhow::Result<()> {
-    // Answers are short, and one engine reads all prompts: others change their stage.
+async fn stage_lease_held() -> anyhow::Result<()> {
+    // Responses are short and a single engine prefills all prompts, so other engines are switched to
+    // prefill.
     let sizes = site::Sizes { edges: 2, plain: 1, prefill: 1, decode: 9, relays: false };
     let site = site::Site::start(sizes).await?;
     for round in 0..100 {
@@ -153,30 +154,30 @@
 }
 
 #[tokio::test]
-async fn reborn_server() -> anyhow::Result<()> {
+async fn restarted_server() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.plain[0].set_fault(backend::Fault::Moved);
     for _ in 0..4 {
         is_served(&site, 0, site::SAFE).await;
     }
     let text = site.store.get("servers", "i-plain-0").unwrap();
-    let mut entry: serde_json::Value = serde_json::from_slice(&text)?;
-    entry["born"] = json!(2);
+    let mut row: serde_json::Value = serde_json::from_slice(&text)?;
+    row["born"] = json!(2);
     site.plain[0].set_fault(backend::Fault::None);
-    site.store.put("servers", "i-plain-0", entry.to_string());
+    site.store.put("servers", "i-plain-0", row.to_string());
     tokio::time::sleep(time::Duration::from_millis(300)).await;
     let before = site.plain[0].seen().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, site::SAFE).await);
     }
-    assert!(site.plain[0].seen().len() > before, "what was known of the old process is void");
+    assert!(site.plain[0].seen().len() > before, "a restarted server gets no requests");
     Ok(())
 }
 
-// Found in the logs of a run: the store fell silent to one entry, which waited on its feed for
-// seven seconds while its peers knew better.
+// Guards against a store that stops responding to one entry only: the entry waited on its feed for
+// 7 s while its peers had newer state.
 #[tokio::test]
-async fn silent_to_one() -> anyhow::Result<()> {
+async fn store_unresponsive() -> anyhow::Result<()> {
     let mut site = site::Site::start(site::Sizes::default()).await?;
     let relay = site.relay_store().await?;
     site.add_edge().await?;
@@ -184,7 +185,7 @@
     assert!(is_served(&site, 1, site::UNSAFE).await);
     relay.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
     site.store.remove("servers", "i-plain-1");
-    site.store.put("op", "config", longer_config(&site, 5));
+    site.store.put("op", "config", config_with_route(&site, 5));
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
     assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
@@ -192,28 +193,28 @@
     for _ in 0..10 {
         assert!(is_served(&site, 1, site::SAFE).await);
     }
-    assert_eq!(site.plain[1].seen().len(), before, "a server that is gone is used");
+    assert_eq!(site.plain[1].seen().len(), before, "a removed server is used");
     relay.set_modes(relay::Mode::Forward, relay::Mode::Forward);
     site.store.put("op", "config", site.config(9).to_string());
     tokio::time::sleep(time::Duration::from_millis(3_000)).await;
-    assert!(!is_served(&site, 1, "/added/x").await, "the store is followed again");
+    assert!(!is_served(&site, 1, "/added/x").await, "the entry does not follow the store again");
     Ok(())
 }
 
-// Found in an incident: after an outage of the store an entry that learned from a peer dropped
-// servers whose lapsed entries the peer still waited for.
+// Guards against an entry that copied its state from a peer and, after an outage of the store,
+// dropped servers whose expired rows the peer still waited for. Seen in an incident.
 #[tokio::test]
-async fn lapsed_at_peer() -> anyhow::Result<()> {
+async fn expired_at_peer() -> anyhow::Result<()> {
     let mut site = site::Site::start(site::Sizes::default()).await?;
     let relay = site.relay_store().await?;
     site.add_edge().await?;
     site.wait_ready().await?;
     relay.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
-    site.store.put("op", "config", longer_config(&site, 5));
+    site.store.put("op", "config", config_with_route(&site, 5));
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
 
     site.store.set_mode(store::Mode::Busy);
-    let entry = site.store.get("servers", "i-plain-1").unwrap();
+    let row = site.store.get("servers", "i-plain-1").unwrap();
     site.store.remove("servers", "i-plain-1");
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
     assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
@@ -222,8 +223,8 @@
     site.store.put("op", "config", site.config(9).to_string());
     wait_log(&site, 1, r#""version":9"#, 1).await?;
 
-    let entry = String::from_utf8(entry)?;
-    site.store.put("servers", "i-plain-1", entry);
+    let row = String::from_utf8(row)?;
+    site.store.put("servers", "i-plain-1", row);
     tokio::time::sleep(time::Duration::from_millis(2_500)).await;
     let log = site.edges[1].log();
     assert!(log.contains("server waited for"), "{log}");
@@ -231,7 +232,7 @@
     Ok(())
 }
 
-// Waits until the log of an entry has `text` on `count` lines.
+// Waits until the log of an entry contains `text` at least `count` times.
 async fn wait_log(site: &site::Site, edge: usize, text: &str, count: usize) -> anyhow::Result<()> {
     for _ in 0..100 {
         if site.edges[edge].log().matches(text).count() >= count {
