--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -1,4 +1,5 @@
-//! Streams on the platform: whole, resumed only where that is allowed, and nothing kept after.
+//! Streams on the platform are complete, resumed only where allowed, and leave no engine memory
+//! behind.
 
 use std::time;
 
@@ -9,7 +10,7 @@
 
 use backend::Fault;
 
-async fn settled(site: &site::Site) -> bool {
+async fn is_released(site: &site::Site) -> bool {
     for _ in 0..60 {
         if site.outstanding() == 0 {
             return true;
@@ -20,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn whole_streams() -> anyhow::Result<()> {
+async fn complete_streams() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     for (attempt, path) in [("a1", site::RESUMABLE), ("a2", site::STREAM)] {
         let reply = site.edges[0].call(Method::POST, path, attempt, "body").await?;
@@ -30,57 +31,58 @@
     let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.seen()).collect();
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-source")));
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-hold")));
-    assert!(settled(&site).await, "an engine keeps something");
+    assert!(is_released(&site).await, "an engine still holds memory");
     Ok(())
 }
 
-/// Calls after which a fault must have been met; each takes one of two engines.
-const MOST_CALLS: usize = 24;
-/// Requests that have to meet a fault: a hold, a stream, and one of both again.
-const MEETINGS: u64 = 4;
+/// Maximum number of calls to hit a fault often enough; each call uses one of two engines.
+const MAX_CALLS: usize = 24;
+/// Requests that must hit a fault: a hold, a stream, and one more of each.
+const MIN_HITS: u64 = 4;
 
-// One decode engine has the fault; what the caller gets must be whole or visibly broken off.
-async fn meet(fault: Fault, is_served: bool) -> anyhow::Result<()> {
+// Gives one decode engine the fault. The caller must receive a complete response, an error or a
+// response that is visibly cut off; with `must_serve`, a complete one.
+async fn check_fault(fault: Fault, must_serve: bool) -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.decode[0].set_fault(fault);
-    for number in 0..MOST_CALLS {
-        if site.decode[0].faulted() >= MEETINGS {
+    for number in 0..MAX_CALLS {
+        if site.decode[0].faulted() >= MIN_HITS {
             break;
         }
         let attempt = format!("r{number}");
         let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
-        let whole = (200, Some(site::full_stream()));
-        assert_eq!((reply.status, reply.body), whole, "{fault:?}");
+        let complete = (200, Some(site::full_stream()));
+        assert_eq!((reply.status, reply.body), complete, "{fault:?}");
         let attempt = format!("o{number}");
         let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "b").await?;
         assert!(site.runs(&attempt) <= 1, "{fault:?}: a request ran twice");
-        let is_whole = reply.body.as_deref() == Some(site::full_stream().as_str());
-        let is_broken = reply.body.is_none();
-        let is_own = reply.is_local() && reply.status >= 500;
-        assert!(is_whole || is_broken || is_own, "{fault:?}: {reply:?}");
-        assert!(!is_served || is_whole, "{fault:?}: nothing had run");
+        let is_complete = reply.body.as_deref() == Some(site::full_stream().as_str());
+        let is_cut_off = reply.body.is_none();
+        let is_local_error = reply.is_local() && reply.status >= 500;
+        assert!(is_complete || is_cut_off || is_local_error, "{fault:?}: {reply:?}");
+        assert!(!must_serve || is_complete, "{fault:?}: the request must be served elsewhere");
     }
-    let met = site.decode[0].faulted();
-    assert!(met >= MEETINGS, "{fault:?} was met {met} times only");
-    assert!(settled(&site).await, "{fault:?}: an engine keeps something");
+    let hits = site.decode[0].faulted();
+    assert!(hits >= MIN_HITS, "{fault:?} was hit only {hits} times");
+    assert!(is_released(&site).await, "{fault:?}: an engine still holds memory");
     Ok(())
 }
 
 #[tokio::test]
 async fn fault_table() -> anyhow::Result<()> {
-    let broken =
+    let interrupting =
         [Fault::CutsStream, Fault::EndsWithin, Fault::Stalls, Fault::SkipsEvent, Fault::Resets];
-    for fault in broken {
-        meet(fault, false).await?;
+    for fault in interrupting {
+        check_fault(fault, false).await?;
     }
     for fault in [Fault::Sheds, Fault::Full, Fault::Moved] {
-        meet(fault, true).await?;
+        check_fault(fault, true).await?;
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn no_memory_anywhere() -> anyhow::Result<()> {
+async fn engines_full() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     for decode in &site.decode {
         decode.set_fault(Fault::Full);
@@ -90,12 +92,12 @@
     assert!(reply.headers.contains_key("retry-after"), "{reply:?}");
     assert!(reply.taken < time::Duration::from_millis(600), "{:?}", reply.taken);
     assert_eq!(site.runs("a1"), 0);
-    assert_eq!(site.outstanding(), 0, "no prompt is read for a request without room");
+    assert_eq!(site.outstanding(), 0, "no prompt is prefilled without a decode slot");
     Ok(())
 }
 
 #[tokio::test]
-async fn prefill_fails() -> anyhow::Result<()> {
+async fn prefill_faults() -> anyhow::Result<()> {
     let sizes = site::Sizes { prefill: 2, ..site::Sizes::default() };
     let site = site::Site::start(sizes).await?;
     for fault in [Fault::Sheds, Fault::Mute, Fault::Moved, Fault::Forgets] {
@@ -108,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn caller_gone() -> anyhow::Result<()> {
+async fn caller_disconnects() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     for decode in &site.decode {
         decode.set_fault(Fault::Stalls);
@@ -116,14 +118,14 @@
     let call = site.edges[0].call(Method::POST, site::STREAM, "a1", "body");
     assert!(tokio::time::timeout(time::Duration::from_millis(400), call).await.is_err());
     let start = time::Instant::now();
-    assert!(settled(&site).await, "the engine still works for a caller that is gone");
+    assert!(is_released(&site).await, "the engine still runs a request of a disconnected caller");
     assert!(start.elapsed() < time::Duration::from_millis(500));
     Ok(())
 }
 
-// Found by a hunt: a stream that stood still was ended although no other server could go on.
+// Guards against ending a stalled stream although no other server can resume it.
 #[tokio::test]
-async fn pause_without_room() -> anyhow::Result<()> {
+async fn pause_without_alternative() -> anyhow::Result<()> {
     let sizes = site::Sizes { decode: 1, ..site::Sizes::default() };
     let site = site::Site::start(sizes).await?;
     site.decode[0].set_fault(Fault::Pauses);
@@ -133,13 +135,14 @@
     Ok(())
 }
 
-// Either half keeps events from coming twice, so each is looked at by itself.
+// Both the `last-event-id` header and the filter of repeated events prevent duplicates, so each is
+// checked separately.
 #[tokio::test]
-async fn resumed_once() -> anyhow::Result<()> {
+async fn resume_without_duplicates() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.decode[0].set_fault(Fault::CutsStream);
     site.decode[1].set_fault(Fault::StartsOver);
-    for number in 0..MOST_CALLS {
+    for number in 0..MAX_CALLS {
         let attempt = format!("a{number}");
         let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
         assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())));
@@ -149,22 +152,22 @@
             return Ok(());
         }
     }
-    anyhow::bail!("no stream was resumed in {MOST_CALLS} calls")
+    anyhow::bail!("no stream was resumed in {MAX_CALLS} calls")
 }
 
-// A caller that leaves before its answer can be whole is told so at once, and nothing runs.
+// A request whose deadline is too short for the complete response is rejected and does not run.
 #[tokio::test]
-async fn no_time_left() -> anyhow::Result<()> {
+async fn deadline_too_short() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     let edge = &site.edges[0];
-    let size = ("x-token-usage", "100,6");
+    let usage = ("x-token-usage", "100,6");
     for number in 0..3 {
         let id = format!("a{number}");
-        let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[size]).await?;
+        let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[usage]).await?;
         assert_eq!(reply.body, Some(site::full_stream()));
     }
-    // Six events take 80 ms from the first to the last, without one pause.
-    let headers = [size, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
+    // The six events span 80 ms, with one pause between events left out.
+    let headers = [usage, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
     let reply = edge.call_with(Method::POST, site::STREAM, "late", "b", &headers).await?;
     assert_eq!(reply.status, 503);
     assert!(reply.headers.contains_key("retry-after"));
