--- a/crates/e2e/tests/platform_survey.rs
+++ b/crates/e2e/tests/platform_survey.rs
@@ -1,4 +1,4 @@
-//! What operators see of a deployment on the platform.
+//! Output of the operator commands for a deployment on the platform.
 
 use std::process;
 
@@ -10,22 +10,22 @@
 async fn ctl(site: &site::Site, args: &[&str]) -> anyhow::Result<process::Output> {
     let mut command = process::Command::new(programs::program_path("rhubarb-ctl"));
     command.args(args).args(["--store", &site.store_address()?.to_string()]);
-    // The store that it reads is served by this process.
+    // The command reads a store that this process serves, so it must not block the runtime.
     Ok(tokio::task::spawn_blocking(move || command.output()).await??)
 }
 
-fn text(output: &process::Output) -> String {
+fn stdout(output: &process::Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[tokio::test]
-async fn versions_shown() -> anyhow::Result<()> {
+async fn status_and_config() -> anyhow::Result<()> {
     let sizes = site::Sizes { edges: 2, ..site::Sizes::default() };
     let mut site = site::Site::start(sizes).await?;
     site.announce(&site.plain[1].clone(), "draining");
     site.store.put("servers", "i-ghost", "not an entry");
     site.edges[1].kill();
-    let status = text(&ctl(&site, &["status"]).await?);
+    let status = stdout(&ctl(&site, &["status"]).await?);
     for line in [
         "config version 1, 5 routes",
         "plain plain in hall-a: 1 ready, 1 leaving",
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn store_away() -> anyhow::Result<()> {
+async fn store_unavailable() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
     site.store.set_mode(store::Mode::Busy);
     let output = ctl(&site, &["status"]).await?;
