--- a/crates/e2e/tests/stops.rs
+++ b/crates/e2e/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing off, and leaving instances get no new work.
+//! Planned stops let running requests complete, and leaving instances receive no new ones.
 
 use std::time;
 
@@ -7,23 +7,23 @@
 use rhubarb_e2e::stack;
 use rhubarb_fakes::tokens;
 
-const FEW_SECONDS: time::Duration = time::Duration::from_secs(5);
-const LONG: u32 = 700;
-/// Time between two calls, so that the caller keeps to its rate.
-const PACE: time::Duration = time::Duration::from_millis(10);
+const DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+const STREAM_TOKENS: u32 = 700;
+/// Interval between calls, which keeps the caller below its rate limit.
+const CALL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-async fn all_go_elsewhere(stack: &stack::Stack, server: &str) {
-    let open = async || {
+async fn wait_drained(stack: &stack::Stack, server: &str) {
+    let served_elsewhere = async || {
         let reply = stack.caller(0).call(Method::GET, "/yard-app/status", &[], "").await.unwrap();
         assert_eq!(reply.status, 200, "{}", reply.body);
         reply.json()["server"] != server
     };
     let start = time::Instant::now();
-    let mut elsewhere = 0;
-    while elsewhere < 30 {
-        elsewhere = if open().await { elsewhere + 1 } else { 0 };
-        tokio::time::sleep(PACE).await;
-        assert!(start.elapsed() < FEW_SECONDS, "{server} still gets work");
+    let mut consecutive = 0;
+    while consecutive < 30 {
+        consecutive = if served_elsewhere().await { consecutive + 1 } else { 0 };
+        tokio::time::sleep(CALL_INTERVAL).await;
+        assert!(start.elapsed() < DRAIN_TIMEOUT, "{server} still receives requests");
     }
 }
 
@@ -31,7 +31,7 @@
 async fn drain_agent() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     stack.ctl(&["drain", "yard-1"]).unwrap();
-    all_go_elsewhere(&stack, "yard-1").await;
+    wait_drained(&stack, "yard-1").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -43,31 +43,31 @@
     let url = format!("http://{}", stack.agents["yard-2"].http);
     assert!(stack.ctl(&["drain", "yard-2"]).unwrap_err().to_string().contains("exit 4"));
     stack.ctl(&["drain", "--at", &url, "yard-2"]).unwrap();
-    all_go_elsewhere(&stack, "yard-2").await;
+    wait_drained(&stack, "yard-2").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn platform_says_leaving() {
+async fn leaving_in_list() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     stack.mark_leaving("yard-3").await.unwrap();
-    all_go_elsewhere(&stack, "yard-3").await;
+    wait_drained(&stack, "yard-3").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn stranger_drains_nothing() {
+async fn unauthorized_drain() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     for address in [stack.agents["yard-1"].http, stack.entries[0].http] {
-        let stranger = rhubarb_e2e::caller::Caller::new(address, "demo-caller-key");
-        let reply = stranger.call(Method::POST, "/drain", &[], "").await.unwrap();
+        let unauthorized = rhubarb_e2e::caller::Caller::new(address, "demo-caller-key");
+        let reply = unauthorized.call(Method::POST, "/drain", &[], "").await.unwrap();
         assert_eq!(reply.status, 401);
         assert_eq!(stack.status(address).await["leaving"], false);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn long_stream_ends() {
+async fn long_stream_completes() {
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let mut stream = stack.caller(0).stream("long summary", LONG).await.unwrap();
+    let mut stream = stack.caller(0).stream("long summary", STREAM_TOKENS).await.unwrap();
     stream.next().await.unwrap();
     let all: Vec<_> = stack.agents.keys().cloned().collect();
     for server in &all {
@@ -75,7 +75,10 @@
     }
     stack.entries[0].terminate();
     let rest = stream.read_to_end().await.unwrap();
-    assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", LONG));
+    assert_eq!(
+        tokens::token("long summary", 0) + &rest,
+        tokens::answer("long summary", STREAM_TOKENS)
+    );
     for server in &all {
         let code = stack.wait_agent_exit(server).await;
         assert_eq!(code, 0, "{server}");
@@ -84,7 +87,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn confirm_ends() {
+async fn running_key_completes() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let key = stack.key_owned_by("yard-1", "slow");
     let caller = stack.caller(0);
@@ -99,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn queued_ends() {
+async fn queued_key_completes() {
     let list = stack::service_list("10m", "60s").replace("rooms = 64", "rooms = 1");
     let plan = stack::Plan { list, ..stack::Plan::default() };
     let mut stack = stack::Stack::start(plan).await.unwrap();
@@ -113,9 +116,9 @@
     stack.wait_until("the slow key runs", async || stack.runs(&slow).await == 1).await;
     let second = call(&queued, 0);
     let http = stack.agents["yard-1"].http;
-    let waits = async || stack.status(http).await["waiting"] == 1;
-    stack.wait_until("the other key waits", waits).await;
-    // The agent stops, and then the entry too.
+    let is_waiting = async || stack.status(http).await["waiting"] == 1;
+    stack.wait_until("the other key waits", is_waiting).await;
+    // The agent starts its shutdown first, then the entry.
     stack.agents["yard-1"].terminate();
     stack.entries[0].terminate();
     for reply in [first.await.unwrap(), second.await.unwrap()] {
@@ -127,22 +130,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_leaves() {
+async fn entry_drains() {
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
-    let mut stream = stack.caller(0).stream("long summary", LONG).await.unwrap();
+    let mut stream = stack.caller(0).stream("long summary", STREAM_TOKENS).await.unwrap();
     stream.next().await.unwrap();
     stack.entries[0].terminate();
-    let refused = async || {
+    let is_rejected = async || {
         let reply = stack.caller(0).complete("new work", 4).await.unwrap();
         reply.status == 503 && reply.reason() == "leaving" && reply.outcome() == Some("not-run")
     };
-    stack.wait_within(FEW_SECONDS, "new work is refused", refused).await;
+    stack.wait_within(DRAIN_TIMEOUT, "new requests are rejected", is_rejected).await;
     stream.read_to_end().await.unwrap();
     assert_eq!(stack.wait_entry_exit(0).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn restarts_in_turn() {
+async fn rolling_restart() {
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let caller = stack.caller(0);
     let calls = tokio::spawn(async move {
