--- a/crates/e2e/tests/streams.rs
+++ b/crates/e2e/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Whole answers although connections, agents and engines fail on the way.
+//! Responses are complete although connections, agents and engines fail meanwhile.
 
 use std::time;
 
@@ -6,16 +6,17 @@
 use rhubarb_fakes::tokens;
 
 const TOKENS: u32 = 150;
-/// A stream whose agent is dead goes on elsewhere within the target for a first token.
-const GOES_ON: time::Duration = time::Duration::from_millis(460);
-const FREE_AGAIN: time::Duration = time::Duration::from_secs(8);
+/// A stream whose agent was killed resumes on another server within the target latency of a first
+/// token.
+const RESUME_TIMEOUT: time::Duration = time::Duration::from_millis(460);
+const FREE_TIMEOUT: time::Duration = time::Duration::from_secs(8);
 
 fn with_relays() -> stack::Plan {
     stack::Plan { relays: true, ..stack::Plan::default() }
 }
 
-/// Server whose decode room is held.
-async fn decoding(stack: &stack::Stack) -> String {
+/// Decode server that holds a slot.
+async fn decoding_server(stack: &stack::Stack) -> String {
     for _ in 0..200 {
         for name in ["decode-1", "decode-2"] {
             if stack.status(stack.agents[name].http).await["held"] == 1 {
@@ -23,12 +24,13 @@
             }
         }
     }
-    panic!("nothing is decoded");
+    panic!("no decode server holds a slot");
 }
 
-async fn freed(stack: &stack::Stack) {
+/// Waits until engine memory is free, and checks that a new request completes.
+async fn check_freed(stack: &stack::Stack) {
     stack
-        .wait_within(FREE_AGAIN, "engine memory is free", async || {
+        .wait_within(FREE_TIMEOUT, "engine memory is free", async || {
             stack.requests_in_memory().await == 0
         })
         .await;
@@ -37,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn link_cut() {
+async fn connections_closed() {
     let stack = stack::Stack::start(with_relays()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     let first = stream.next().await.unwrap().unwrap();
@@ -47,11 +49,11 @@
     let rest = stream.read_to_end().await.unwrap();
     assert!(first.contains(&tokens::token("long summary", 0)));
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn link_silent() {
+async fn connections_blackholed() {
     let stack = stack::Stack::start(with_relays()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
@@ -60,11 +62,11 @@
     }
     let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_link_silent() {
+async fn idle_connections_blackholed() {
     let stack = stack::Stack::start(with_relays()).await.unwrap();
     stack.caller(0).complete("first", 8).await.unwrap();
     for relay in stack.relays.values() {
@@ -72,7 +74,7 @@
     }
     let reply = stack.caller(0).complete("second", 8).await.unwrap();
     assert_eq!(reply.text(), tokens::answer("second", 8), "{}", reply.body);
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -80,7 +82,7 @@
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
-    let server = decoding(&stack).await;
+    let server = decoding_server(&stack).await;
     stack.agents.get_mut(&server).unwrap().kill();
     let mut longest = time::Duration::ZERO;
     let mut text = tokens::token("long summary", 0);
@@ -95,8 +97,8 @@
         text.push_str(event["choices"][0]["text"].as_str().unwrap());
     }
     assert_eq!(text, tokens::answer("long summary", TOKENS));
-    assert!(longest < GOES_ON, "the stream stood still for {longest:?}");
-    freed(&stack).await;
+    assert!(longest < RESUME_TIMEOUT, "the stream stalled for {longest:?}");
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,12 +106,12 @@
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
-    let server = decoding(&stack).await;
+    let server = decoding_server(&stack).await;
     stack.agents[&server].freeze();
     let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     stack.agents[&server].thaw();
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -117,12 +119,12 @@
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
-    let server = decoding(&stack).await;
+    let server = decoding_server(&stack).await;
     stack.switch(&server, "frozen").await.unwrap();
     let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
     stack.switch(&server, "up").await.unwrap();
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -134,11 +136,11 @@
         let reply = stack.caller(0).complete(&prompt, 8).await.unwrap();
         assert_eq!(reply.text(), tokens::answer(&prompt, 8), "{}", reply.body);
     }
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn twice_together() {
+async fn combined_faults() {
     let mut stack = stack::Stack::start(with_relays()).await.unwrap();
     let mut stream = stack.caller(0).stream("long summary", TOKENS).await.unwrap();
     stream.next().await.unwrap();
@@ -148,11 +150,11 @@
     for relay in stack.relays.values() {
         relay.blackhole();
     }
-    let server = decoding(&stack).await;
+    let server = decoding_server(&stack).await;
     stack.agents.get_mut(&server).unwrap().kill();
     let rest = stream.read_to_end().await.unwrap();
     assert_eq!(tokens::token("long summary", 0) + &rest, tokens::answer("long summary", TOKENS));
-    freed(&stack).await;
+    check_freed(&stack).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -162,7 +164,7 @@
     let call = tokio::spawn(async move {
         caller.call(hyper::Method::POST, "/yard-app/wait?300", &[], "{}").await.unwrap()
     });
-    let runs = async || {
+    let is_running = async || {
         let agents = stack.agents.values();
         for agent in agents {
             if stack.status(agent.http).await["open"] == 1 {
@@ -171,12 +173,16 @@
         }
         false
     };
-    stack.wait_until("the call runs", runs).await;
+    stack.wait_until("the call runs", is_running).await;
     stack.entries[0].freeze();
-    // Longer than the agent keeps the answer of a call without a key.
+    // Longer than an agent stores the response to a call without a key.
     tokio::time::sleep(time::Duration::from_secs(7)).await;
     stack.entries[0].thaw();
     let reply = call.await.unwrap();
-    let said = (reply.status, reply.outcome());
-    assert!(said == (200, None) || said.1 == Some("unknown"), "{said:?} {}", reply.body);
+    let observed = (reply.status, reply.outcome());
+    assert!(
+        observed == (200, None) || observed.1 == Some("unknown"),
+        "{observed:?} {}",
+        reply.body
+    );
 }
