--- a/crates/e2e/benches/overhead.rs
+++ b/crates/e2e/benches/overhead.rs
@@ -1,4 +1,5 @@
-//! Latency that the path adds to a direct call to the engines, both in one run.
+//! Latency of calls through an entry and an agent, compared with direct calls to the engines in the
+//! same run.
 //!
 //! `cargo build --release --bins && cargo bench -p rhubarb-e2e` prints the table.
 
@@ -11,7 +12,7 @@
 
 const CALLS: usize = 200;
 const TOKENS: u32 = 16;
-const LIMIT: time::Duration = time::Duration::from_secs(10);
+const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
@@ -24,7 +25,7 @@
         let prompt = format!("long lot {number}");
         samples[0].push(complete_direct(&stack, &direct, &prompt).await?);
         let reply = caller.complete(&prompt, TOKENS).await?;
-        anyhow::ensure!(reply.status == 200, "the path refused: {}", reply.body);
+        anyhow::ensure!(reply.status == 200, "the entry responded: {}", reply.body);
         samples[1].push(reply.taken);
         samples[2].push(call_direct(&stack, &direct).await?);
         samples[3].push(caller.call(hyper::Method::GET, "/yard-app/x", &[], "").await?.taken);
@@ -47,10 +48,10 @@
     let base = format!("http://{}/engine", stack.fakes.http);
     let start = time::Instant::now();
     let id = prompt.replace(' ', "-");
-    let content = json!({ "id": id, "prompt": prompt });
-    let reply = direct.post_json(&format!("{base}/prefill-1/prefill"), &content, LIMIT).await?;
+    let body = json!({ "id": id, "prompt": prompt });
+    let reply = direct.post_json(&format!("{base}/prefill-1/prefill"), &body, TIMEOUT).await?;
     let prefilled: serde_json::Value = serde_json::from_slice(&reply.body)?;
-    let content = json!({
+    let body = json!({
         "id": id,
         "prompt": prompt,
         "max_tokens": TOKENS,
@@ -59,8 +60,8 @@
         "handle": prefilled["handle"],
         "key": null,
     });
-    let reply = direct.post_json(&format!("{base}/decode-1/decode"), &content, LIMIT).await?;
-    anyhow::ensure!(reply.status == 200, "the engine refused: {}", reply.status);
+    let reply = direct.post_json(&format!("{base}/decode-1/decode"), &body, TIMEOUT).await?;
+    anyhow::ensure!(reply.status == 200, "the engine responded with {}", reply.status);
     Ok(start.elapsed())
 }
 
@@ -69,6 +70,6 @@
     direct: &client::Client,
 ) -> anyhow::Result<time::Duration> {
     let start = time::Instant::now();
-    direct.get(&format!("http://{}/plain/yard-1/x", stack.fakes.http), LIMIT).await?;
+    direct.get(&format!("http://{}/plain/yard-1/x", stack.fakes.http), TIMEOUT).await?;
     Ok(start.elapsed())
 }
