--- a/crates/e2e/src/relay.rs
+++ b/crates/e2e/src/relay.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Modes {
     /// Mode from the entry to the target.
-    pub to_agent: Mode,
+    pub to_target: Mode,
     /// Mode from the target to the entry.
     pub to_entry: Mode,
     blackholes: u64,
@@ -59,8 +59,8 @@
         let shared = modes.clone();
         tokio::spawn(async move {
             while let Ok((entry, _)) = listener.accept().await {
-                let Ok(agent) = tcp::TcpStream::connect(target).await else { continue };
-                relay_connection(entry, agent, &shared);
+                let Ok(upstream) = tcp::TcpStream::connect(target).await else { continue };
+                relay_connection(entry, upstream, &shared);
             }
         });
         tokio::spawn(forward_datagrams(udp, target));
@@ -68,9 +68,9 @@
     }
 
     /// Sets the modes of both directions.
-    pub fn set_modes(&self, to_agent: Mode, to_entry: Mode) {
+    pub fn set_modes(&self, to_target: Mode, to_entry: Mode) {
         self.modes.send_modify(|modes| {
-            modes.to_agent = to_agent;
+            modes.to_target = to_target;
             modes.to_entry = to_entry;
         });
     }
@@ -119,15 +119,17 @@
 
 fn relay_connection(
     entry: tcp::TcpStream,
-    agent: tcp::TcpStream,
+    upstream: tcp::TcpStream,
     modes: &sync::Arc<watch::Sender<Modes>>,
 ) {
     let _ = entry.set_nodelay(true);
-    let _ = agent.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     let (entry_in, entry_out) = entry.into_split();
-    let (agent_in, agent_out) = agent.into_split();
-    tokio::spawn(forward_stream(entry_in, agent_out, modes.subscribe(), |modes| modes.to_agent));
-    tokio::spawn(forward_stream(agent_in, entry_out, modes.subscribe(), |modes| modes.to_entry));
+    let (upstream_in, upstream_out) = upstream.into_split();
+    tokio::spawn(forward_stream(entry_in, upstream_out, modes.subscribe(), |modes| {
+        modes.to_target
+    }));
+    tokio::spawn(forward_stream(upstream_in, entry_out, modes.subscribe(), |modes| modes.to_entry));
 }
 
 async fn forward_stream(
