--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -161,7 +161,7 @@
         let kind = if server.starts_with("yard") { "plain" } else { "engine" };
         let zone = zone_of(server);
         let engine = format!("http://{}/{kind}/{server}", self.fakes.http);
-        let answers = self.plan.answer_bytes.to_string();
+        let answer_bytes = self.plan.answer_bytes.to_string();
         let settings = self.render_settings(
             include_str!("../../../examples/agent.ini"),
             &[
@@ -171,7 +171,7 @@
                 ("http", "127.0.0.1:0"),
                 ("engine", &engine),
                 ("notice", "300ms"),
-                ("max_answers", &answers),
+                ("max_answers", &answer_bytes),
             ],
         );
         let path = self.write_file(&format!("{server}.ini"), &settings)?;
