--- a/crates/e2e/tests/once.rs
+++ b/crates/e2e/tests/once.rs
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_agent_fast() {
+async fn killed_agent_latency() {
     let mut stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     let key = stack.key_owned_by("yard-1", "dead");
     stack.agents.get_mut("yard-1").unwrap().kill();
