--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -20,7 +20,7 @@
         tokio::time::sleep(time::Duration::from_millis(60)).await;
         edge.signal(Signal::TERM);
         tokio::time::sleep(time::Duration::from_millis(300)).await;
-        assert!(!edge.is_ready().await, "the load balancer sees the entry as not ready");
+        assert!(!edge.is_ready().await, "a draining entry must not be ready");
         edge.call(Method::POST, site::UNSAFE, "a2", "body").await
     };
     let (streamed, late) = tokio::join!(call, stop);
