--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -166,7 +166,7 @@
         let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[usage]).await?;
         assert_eq!(reply.body, Some(site::full_stream()));
     }
-    // The six events span 80 ms, with one pause between events left out.
+    // The six events span 80 ms, one pause between events not counted.
     let headers = [usage, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
     let reply = edge.call_with(Method::POST, site::STREAM, "late", "b", &headers).await?;
     assert_eq!(reply.status, 503);
