--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starts whole deployments on loopback, as separate processes, for the end-to-end tests.
+//! Starts complete deployments as separate processes on loopback, for the end-to-end tests.
 //!
 //! ```no_run
 //! # async fn example() -> anyhow::Result<()> {
@@ -16,5 +16,5 @@
 pub mod edge;
 pub mod process;
 pub mod relay;
+pub mod site;
 pub mod stack;
-pub mod standin;
--- a/crates/e2e/src/standin.rs
+++ b/crates/e2e/src/site.rs
@@ -1,4 +1,5 @@
-//! A deployment on the users' platform: its store and servers as stand-ins, entries as processes.
+//! A deployment on the users' platform: entry processes with a fake store and fake backend
+//! servers.
 
 use std::{collections, env, fs, net, path, process, sync::atomic, time};
 
@@ -8,10 +9,10 @@
 
 use crate::{call, edge, relay};
 
-/// A running deployment.
+/// A running deployment. Its entries are killed on drop.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's store.
+    /// Fake store of the platform.
     pub store: store::Store,
     /// Plain servers.
     pub plain: Vec<backend::Backend>,
@@ -19,19 +20,19 @@
     pub prefill: Vec<backend::Backend>,
     /// Decode engines.
     pub decode: Vec<backend::Backend>,
-    /// Relays before the servers, by the servers' ids.
+    /// Relays in front of the servers, by server id.
     pub relays: collections::BTreeMap<String, relay::Relay>,
-    /// Entries.
+    /// Entry processes.
     pub edges: Vec<edge::Edge>,
     handles: backend::Handles,
     dir: path::PathBuf,
-    net: [u8; 2],
+    subnet: [u8; 2],
 }
 
-/// Sizes of a deployment.
+/// Number of processes and servers of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Entries.
+    /// Entry processes.
     pub edges: usize,
     /// Plain servers.
     pub plain: usize,
@@ -49,32 +50,32 @@
     }
 }
 
-/// Most servers at which one request may run.
+/// Maximum number of servers that may run one request.
 pub const MAX_ATTEMPTS: u32 = 2;
-/// Longest time of a plain call.
-pub const PLAIN_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// Longest time of a stream.
-pub const STREAM_LIMIT: time::Duration = time::Duration::from_secs(6);
-/// Paths of the routes in [`Site::config`].
+/// Timeout of a plain request.
+pub const PLAIN_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Timeout of a streaming request.
+pub const STREAM_TIMEOUT: time::Duration = time::Duration::from_secs(6);
+/// Path on the route in [`Site::config`] whose requests may be retried.
 pub const SAFE: &str = "/safe/x";
-/// Route whose requests run at most once.
+/// Path on the route whose requests run at most once.
 pub const UNSAFE: &str = "/unsafe/x";
-/// Route of streams that may be resumed.
+/// Path on the route whose streams may be resumed.
 pub const RESUMABLE: &str = "/resumable/x";
-/// Route of streams that run at most once.
+/// Path on the route whose streams run at most once.
 pub const STREAM: &str = "/stream/x";
 
-/// Time for which an engine keeps memory that nobody takes up.
-pub const KEPT_LIFE: time::Duration = time::Duration::from_secs(2);
+/// Time after which an engine releases an unused hold.
+pub const HOLD_LIFETIME: time::Duration = time::Duration::from_secs(2);
 
-const START_LIMIT: time::Duration = time::Duration::from_secs(20);
-const STEP: time::Duration = time::Duration::from_millis(20);
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Site {
-    /// Starts the stand-ins and the entries, and waits until these are ready.
+    /// Starts the fakes and the entries, and waits until the entries are ready.
     ///
     /// # Errors
-    /// Returns what could not be started.
+    /// Returns an error if a process or fake cannot be started.
     pub async fn start(sizes: Sizes) -> anyhow::Result<Site> {
         let mut site = Site::prepare(sizes).await?;
         for _ in 0..sizes.edges {
@@ -84,30 +85,31 @@
         Ok(site)
     }
 
-    /// Starts the stand-ins only.
+    /// Starts the fakes only.
     ///
     /// # Errors
-    /// Returns what could not be started.
+    /// Returns an error if a fake cannot be started.
     pub async fn prepare(sizes: Sizes) -> anyhow::Result<Site> {
         static COUNT: atomic::AtomicU8 = atomic::AtomicU8::new(1);
-        let net = [(process::id() % 120 + 2) as u8, COUNT.fetch_add(1, atomic::Ordering::Relaxed)];
-        let dir = env::temp_dir().join(format!("rhubarb-site-{}-{}", process::id(), net[1]));
+        let subnet =
+            [(process::id() % 120 + 2) as u8, COUNT.fetch_add(1, atomic::Ordering::Relaxed)];
+        let dir = env::temp_dir().join(format!("rhubarb-site-{}-{}", process::id(), subnet[1]));
         fs::create_dir_all(&dir)?;
         let handles = backend::Handles::default();
-        let group = |name: &str, stage: &str, count: usize| {
+        let backends = |name: &str, stage: &str, count: usize| {
             let ids = (0..count).map(|number| format!("i-{name}-{number}"));
             ids.map(|id| backend::Backend::new(&id, stage, &handles)).collect::<Vec<_>>()
         };
         let mut site = Site {
             store: store::Store::default(),
-            plain: group("plain", "", sizes.plain),
-            prefill: group("prefill", "prefill", sizes.prefill),
-            decode: group("decode", "decode", sizes.decode),
+            plain: backends("plain", "", sizes.plain),
+            prefill: backends("prefill", "prefill", sizes.prefill),
+            decode: backends("decode", "decode", sizes.decode),
             relays: collections::BTreeMap::new(),
             edges: Vec::new(),
             handles: handles.clone(),
             dir,
-            net,
+            subnet,
         };
         for backend in site.servers() {
             let address = backend.serve(site.ip(1)).await?;
@@ -121,8 +123,8 @@
         Ok(site)
     }
 
-    fn ip(&self, last: u8) -> net::IpAddr {
-        [127, self.net[0], self.net[1], last].into()
+    fn ip(&self, host: u8) -> net::IpAddr {
+        [127, self.subnet[0], self.subnet[1], host].into()
     }
 
     /// All servers.
@@ -130,16 +132,17 @@
         self.plain.iter().chain(&self.prefill).chain(&self.decode).cloned().collect()
     }
 
-    /// Writes the entry of a server with `state` in the store.
+    /// Writes the row of a server to the store, with `state`.
     pub fn announce(&self, backend: &backend::Backend, state: &str) {
         let Some(address) = backend.address() else { return };
         let relay = self.relays.get(&backend.id).map(|relay| relay.address);
-        let mut entry = entry(backend, relay.unwrap_or(address));
-        entry["state"] = json!(state);
-        self.store.put("servers", &backend.id, entry.to_string());
+        let mut row = server_row(backend, relay.unwrap_or(address));
+        row["state"] = json!(state);
+        self.store.put("servers", &backend.id, row.to_string());
     }
 
-    /// Puts a relay with a new address before a server; the old one passes nothing any more.
+    /// Puts a relay with a new address in front of a server. The old relay drops its connections
+    /// and forwards nothing on new ones.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -147,13 +150,13 @@
         let Some(address) = backend.address() else { return Ok(()) };
         let relay = relay::Relay::start(address).await?;
         if let Some(old) = self.relays.insert(backend.id.clone(), relay) {
-            old.cut();
-            old.set(relay::Mode::Hold, relay::Mode::Hold);
+            old.disconnect();
+            old.set_modes(relay::Mode::Buffer, relay::Mode::Buffer);
         }
         Ok(())
     }
 
-    /// Starts an entry that has ended again, with its settings.
+    /// Kills an entry that still runs and starts it again with the same settings.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started.
@@ -164,14 +167,15 @@
         Ok(())
     }
 
-    /// Routes and services as version `version`.
+    /// Routes and services of config version `version`. Each version adds a route for
+    /// [`version_host`].
     pub fn config(&self, version: u64) -> serde_json::Value {
         let route = |name: &str, kind: &str, service: &str, resumable: bool| {
             let is_stream = kind == "streaming";
-            let limit = if is_stream { STREAM_LIMIT } else { PLAIN_LIMIT };
+            let timeout = if is_stream { STREAM_TIMEOUT } else { PLAIN_TIMEOUT };
             json!({
                 "name": name, "host": call::HOST, "prefix": format!("/{name}/"), "kind": kind,
-                "timeout_ms": limit.as_millis() as u64, "target_latency_ms": 300,
+                "timeout_ms": timeout.as_millis() as u64, "target_latency_ms": 300,
                 "priority": 1, "service": service, "max_attempts": MAX_ATTEMPTS, "resumable": resumable,
                 "sticky": is_stream,
             })
@@ -195,14 +199,14 @@
                 {"name": "plain", "health_path": "/health", "max_connections": 100},
                 {"name": "models", "health_path": "/health", "max_connections": 100, "engine": {
                     "batch_slots": 6, "kv_capacity": 20_000, "kv_hold_s": 0.5,
-                    "role_switch_s": 1.0, "hold_ms": KEPT_LIFE.as_secs_f64() * 1e3,
+                    "role_switch_s": 1.0, "hold_ms": HOLD_LIFETIME.as_secs_f64() * 1e3,
                 }},
             ],
             "limits": {"max_header_bytes": 16_384, "max_body_bytes": 65_536},
         })
     }
 
-    /// Puts a relay between the store and the entries that are added from now on.
+    /// Puts a relay between the store and the entries started from now on.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -213,10 +217,10 @@
         Ok(relay)
     }
 
-    /// Address of the store, once an entry was started.
+    /// Address at which entries reach the store.
     ///
     /// # Errors
-    /// Returns an error if it is not served yet.
+    /// Returns an error if the store is not served before the first entry starts.
     pub fn store_address(&self) -> anyhow::Result<net::SocketAddr> {
         Ok(fs::read_to_string(self.dir.join("store"))?.parse()?)
     }
@@ -231,7 +235,7 @@
         Ok(address)
     }
 
-    /// Starts one more entry.
+    /// Starts another entry.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started.
@@ -243,8 +247,8 @@
         fs::write(&settings, self.settings(number, ip, store))?;
         let log = self.dir.join(format!("edge-{number}.log"));
         let child = edge::spawn(&settings, &log)?;
-        let (callers, ready) = ((ip, 8144).into(), (ip, 8140).into());
-        self.edges.push(edge::Edge { child, callers, ready, settings, log });
+        let (frontend, ready) = ((ip, 8144).into(), (ip, 8140).into());
+        self.edges.push(edge::Edge { child, frontend, ready, settings, log });
         Ok(())
     }
 
@@ -262,41 +266,41 @@
     /// Waits until all entries are ready.
     ///
     /// # Errors
-    /// Returns an error if one does not become ready in time.
+    /// Returns an error if an entry is not ready within the start timeout.
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
-        let until = time::Instant::now() + START_LIMIT;
+        let deadline = time::Instant::now() + START_TIMEOUT;
         for edge in &self.edges {
             while !edge.is_ready().await {
                 let log = fs::read_to_string(&edge.log).unwrap_or_default();
-                anyhow::ensure!(time::Instant::now() < until, "an entry is not ready: {log}");
-                tokio::time::sleep(STEP).await;
+                anyhow::ensure!(time::Instant::now() < deadline, "an entry is not ready: {log}");
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// All attempts that ran at any server, with how often.
+    /// Number of times that the request with the attempt id `attempt` ran, over all servers.
     pub fn runs(&self, attempt: &str) -> u32 {
         let all = self.plain.iter().chain(&self.prefill).chain(&self.decode);
         all.map(|backend| backend.runs().get(attempt).copied().unwrap_or(0)).sum()
     }
 
-    /// Requests that run at any server now, and what engines keep for others.
-    pub fn kept(&self) -> usize {
-        self.kept_since(None)
+    /// Number of requests that run on engines, and of holds and prefill results not released.
+    pub fn outstanding(&self) -> usize {
+        self.outstanding_since(None)
     }
 
-    /// The same without what the platform's engines have dropped by themselves, as they do after
-    /// [`KEPT_LIFE`].
-    pub fn kept_lastingly(&self) -> usize {
-        self.kept_since(time::Instant::now().checked_sub(KEPT_LIFE))
+    /// Like [`Site::outstanding`], without holds and prefill results older than
+    /// [`HOLD_LIFETIME`], which the platform's engines release by themselves.
+    pub fn outstanding_unexpired(&self) -> usize {
+        self.outstanding_since(time::Instant::now().checked_sub(HOLD_LIFETIME))
     }
 
-    fn kept_since(&self, oldest: Option<time::Instant>) -> usize {
+    fn outstanding_since(&self, oldest: Option<time::Instant>) -> usize {
         let engines = self.prefill.iter().chain(&self.decode);
-        let held = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
+        let on_engines = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
         let handles = rhubarb_node::locks::lock(&self.handles);
-        held.sum::<usize>() + backend::count_since(&handles, oldest)
+        on_engines.sum::<usize>() + backend::count_since(&handles, oldest)
     }
 }
 
@@ -307,27 +311,27 @@
     }
 }
 
-// The entry of a server in the store.
-fn entry(backend: &backend::Backend, address: net::SocketAddr) -> serde_json::Value {
+// Row of a server in the `servers` table of the store.
+fn server_row(backend: &backend::Backend, address: net::SocketAddr) -> serde_json::Value {
     let (stage, _) = backend.stage();
     let service = if stage.is_empty() { "plain" } else { "models" };
-    let mut entry = json!({
+    let mut row = json!({
         "service": service, "address": address, "zone": "hall-a", "version": "v1",
         "batch_slots": 6, "state": "ready", "cold_remaining_ms": 0,
         "sequence": 1, "born": backend.born(),
     });
     if !stage.is_empty() {
-        entry["stage"] = json!(stage);
+        row["stage"] = json!(stage);
     }
-    entry
+    row
 }
 
-/// Host whose route came with version `version` of the config.
+/// Host of the route that config version `version` adds.
 pub fn version_host(version: u64) -> String {
     format!("v{version}.example")
 }
 
-/// The whole stream that engines send.
-pub fn whole_stream() -> String {
+/// Body of a complete stream, as the fake engines send it.
+pub fn full_stream() -> String {
     (0..backend::EVENTS).map(|number| format!("id: {number}\ndata: token-{number}\n\n")).collect()
 }
