--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -64,7 +64,10 @@
         share: fair::Share::Within,
         arrived,
         leaves: leaves.then(|| arrived + after),
-        flow: flow::Flow::new(flow::Path::Staged, flow::Rules::model(false, arrived + DEADLINE)),
+        flow: flow::Flow::new(
+            flow::Path::Staged,
+            flow::RetryPolicy::model(false, arrived + DEADLINE),
+        ),
         attempt: 0,
         decode: None,
         prefill: None,
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,4 +1,4 @@
-//! Life cycle of one request at its entry: its attempts, the retry rule, and its one outcome.
+//! State machine of one request at its entry: its attempts, retries and final outcome.
 
 use std::{collections, fmt, time};
 
@@ -6,28 +6,28 @@
 
 use crate::{ids, outcome, repeat, routing};
 
-use outcome::{Outcome as Fate, RETRY_SOON, Reason, Refusal};
+use outcome::{Outcome as RunOutcome, RETRY_SOON, Reason, Refusal};
 
 /// What happened to a request.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The request was admitted.
     Begin,
-    /// A decode server reserved room.
+    /// A decode server reserved a slot.
     Reserved,
     /// The agent has the stored answer of an idempotency key.
     Replayed,
-    /// The prefill ended.
+    /// The prefill completed.
     Prefilled,
-    /// The caller was sent a part of the answer.
+    /// A part of the answer was sent to the caller.
     Streamed,
-    /// The answer is whole.
+    /// The answer is complete.
     Ended,
     /// The current step failed; `server` is not tried again for this request.
     Failed {
         /// Server that failed.
         server: Option<ids::ServerName>,
-        /// What is known.
+        /// Reason of the failure, and whether the attempt may have run.
         refusal: Refusal,
         /// Whether [`Flow::may_retry`] and the retry budget allow another attempt.
         retry: bool,
@@ -38,60 +38,60 @@
     Expired,
 }
 
-/// What the entry has to do next.
+/// Next action of the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Reserve decode room.
+    /// Reserve a decode slot.
     Reserve,
     /// Prefill the prompt.
     Prefill,
-    /// Send the request to the server that is to answer it.
+    /// Send the request to the server that answers it.
     Send,
-    /// Pass on the stored answer.
+    /// Forward the stored answer to the caller.
     Replay,
-    /// Free what is held for the request, and why it failed.
+    /// Release the resources held for the request, which failed for this reason.
     Release(Reason),
-    /// Close the answer; nothing was refused.
+    /// Close the complete answer.
     Finish,
-    /// Give the caller this final answer, at once.
+    /// Send the caller this refusal as the final answer, without delay.
     Refuse(Refusal),
 }
 
-/// Steps of an attempt.
+/// Sequence of steps of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
-    /// Room is reserved, the prompt prefilled, then the request is sent.
+    /// A slot is reserved, the prompt prefilled, then the request is sent.
     Staged,
     /// The request is sent at once.
     Direct,
 }
 
-/// What a request may cost.
+/// Limits on the attempts of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    /// What may be repeated.
+pub struct RetryPolicy {
+    /// Kind of the request, which determines what may be sent again.
     pub kind: routing::Kind,
-    /// Most servers at which it may run.
-    pub attempts: u32,
-    /// Most attempts after the first.
-    pub retries: u32,
-    /// When the final answer is due.
+    /// Maximum number of servers at which the request may have run.
+    pub max_runs: u32,
+    /// Maximum number of attempts after the first.
+    pub max_retries: u32,
+    /// Deadline of the final answer.
     pub deadline: time::Instant,
 }
 
-impl Rules {
-    /// Rules of a model request; a `keyed` one runs once, others go on elsewhere when they break
-    /// off.
-    pub fn model(keyed: bool, deadline: time::Instant) -> Rules {
-        let free = routing::Kind::Stream { resumable: true };
-        let kind = if keyed { routing::Kind::Unsafe } else { free };
-        Rules { kind, attempts: MAX_RETRIES + 1, retries: MAX_RETRIES, deadline }
+impl RetryPolicy {
+    /// Policy of a model request; one with an idempotency key (`keyed`) runs at most once, others
+    /// resume at another server after an interruption.
+    pub fn model(keyed: bool, deadline: time::Instant) -> RetryPolicy {
+        let resumable = routing::Kind::Stream { resumable: true };
+        let kind = if keyed { routing::Kind::Unsafe } else { resumable };
+        RetryPolicy { kind, max_runs: MAX_RETRIES + 1, max_retries: MAX_RETRIES, deadline }
     }
 }
 
-/// A request and its one outcome.
+/// State machine of one request, which ends in exactly one final step.
 pub struct Flow {
-    machine: StateMachine<Life>,
+    machine: StateMachine<Lifecycle>,
     steps: Steps,
 }
 
@@ -104,47 +104,47 @@
 }
 
 impl Flow {
-    /// Makes the flow of a request.
-    pub fn new(path: Path, rules: Rules) -> Flow {
-        let life = Life {
+    /// Creates the state machine of a request that has not begun.
+    pub fn new(path: Path, policy: RetryPolicy) -> Flow {
+        let lifecycle = Lifecycle {
             path,
-            rules,
+            policy,
             streamed: false,
-            unsure: false,
+            maybe_ran: false,
             tried: Vec::new(),
             retries: 0,
             runs: 0,
         };
-        Flow { machine: life.state_machine(), steps: Steps::new() }
+        Flow { machine: lifecycle.state_machine(), steps: Steps::new() }
     }
 
-    /// Takes an event; [`Flow::next_step`] then tells what to do.
+    /// Processes an event; [`Flow::next_step`] then returns the resulting steps.
     pub fn handle(&mut self, event: &Event) {
         self.machine.handle_with_context(event, &mut self.steps);
     }
 
-    /// Next step to take, if any.
+    /// Removes and returns the next step to execute, if any.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Whether another attempt is allowed, and of use, after one at `server` failed.
+    /// Whether another attempt is allowed, and can succeed, after one at `server` failed.
     ///
-    /// Without any server another attempt is of no use now.
+    /// Without a `server` none was available, so an immediate retry would fail too.
     pub fn may_retry(
         &self,
         server: Option<&ids::ServerName>,
         refusal: &Refusal,
         now: time::Instant,
     ) -> bool {
-        let life = self.machine.inner();
+        let lifecycle = self.machine.inner();
         server.is_some()
-            && now < life.rules.deadline
+            && now < lifecycle.policy.deadline
             && refusal.reason.is_passing()
-            && life.allows(refusal)
+            && lifecycle.allows_retry(refusal)
     }
 
-    /// Servers that are not to be tried again.
+    /// Servers excluded from further attempts.
     pub fn tried(&self) -> &[ids::ServerName] {
         &self.machine.inner().tried
     }
@@ -154,49 +154,50 @@
         self.machine.inner().retries
     }
 
-    /// Whether the current attempt is the last that is allowed if it may have run.
+    /// Whether no retry is allowed if the current attempt fails after it may have run.
     pub fn is_last_run(&self) -> bool {
-        !self.machine.inner().allows(&Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
+        !self.machine.inner().allows_retry(&Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
     }
 }
 
-/// Runs `request` to its one outcome: `take` carries out one step and tells what came of it.
+/// Drives `request` to its final step; `execute` executes one step and returns the resulting
+/// event.
 pub async fn drive<R>(
     request: &mut R,
     flow: impl Fn(&mut R) -> &mut Flow,
-    mut take: impl AsyncFnMut(&mut R, Step) -> Option<Event>,
+    mut execute: impl AsyncFnMut(&mut R, Step) -> Option<Event>,
 ) {
     flow(request).handle(&Event::Begin);
     while let Some(step) = flow(request).next_step() {
-        if let Some(event) = take(request, step).await {
+        if let Some(event) = execute(request, step).await {
             flow(request).handle(&event);
         }
     }
 }
 
-struct Life {
+struct Lifecycle {
     path: Path,
-    rules: Rules,
+    policy: RetryPolicy,
     streamed: bool,
-    // An earlier attempt may have run, so the final answer can no longer say otherwise.
-    unsure: bool,
+    // An earlier attempt may have run, so the final outcome cannot be `NotRun`.
+    maybe_ran: bool,
     tried: Vec<ids::ServerName>,
     retries: u32,
-    // Servers at which the request may have run.
+    // Number of servers at which the request may have run.
     runs: u32,
 }
 
-/// Most attempts after the first of a model request.
+/// Maximum number of attempts after the first of a model request.
 pub const MAX_RETRIES: u32 = 3;
 
-impl Life {
-    // An answer of which the caller has a part goes on only where its kind allows that.
-    fn allows(&self, refusal: &Refusal) -> bool {
-        let kind = self.rules.kind;
-        let runs = self.runs + u32::from(refusal.outcome != Fate::NotRun);
+impl Lifecycle {
+    // A partly sent answer is continued only if the stream is resumable.
+    fn allows_retry(&self, refusal: &Refusal) -> bool {
+        let kind = self.policy.kind;
+        let runs = self.runs + u32::from(refusal.outcome != RunOutcome::NotRun);
         let is_resumable = kind == routing::Kind::Stream { resumable: true };
-        self.retries < self.rules.retries
-            && runs < self.rules.attempts
+        self.retries < self.policy.max_retries
+            && runs < self.policy.max_runs
             && repeat::is_allowed(kind, refusal.outcome)
             && (is_resumable || !self.streamed)
     }
@@ -222,9 +223,9 @@
         retry: bool,
     ) -> Outcome<State> {
         steps.push_back(Step::Release(refusal.reason));
-        let is_retried = retry && self.allows(&refusal);
-        if refusal.outcome != Fate::NotRun {
-            self.unsure = true;
+        let is_retried = retry && self.allows_retry(&refusal);
+        if refusal.outcome != RunOutcome::NotRun {
+            self.maybe_ran = true;
             self.runs += 1;
         }
         if is_retried {
@@ -232,7 +233,7 @@
             self.tried.extend(server.clone());
             return self.begin(steps);
         }
-        let outcome = if self.unsure { Fate::Unknown } else { refusal.outcome };
+        let outcome = if self.maybe_ran { RunOutcome::Unknown } else { refusal.outcome };
         steps.push_back(Step::Refuse(Refusal { outcome, ..refusal }));
         Transition(State::closed())
     }
@@ -243,7 +244,7 @@
     state(derive(Debug, Clone, Copy, PartialEq, Eq)),
     visibility = "pub(crate)"
 )]
-impl Life {
+impl Lifecycle {
     #[state(superstate = "open")]
     fn idle(&mut self, context: &mut Steps, event: &Event) -> Outcome<State> {
         match event {
@@ -303,7 +304,7 @@
                 context.push_back(Step::Release(Reason::CallerGone));
                 context.push_back(Step::Refuse(Refusal {
                     reason: Reason::CallerGone,
-                    outcome: Fate::Cancelled,
+                    outcome: RunOutcome::Cancelled,
                     retry: None,
                 }));
                 Transition(State::closed())
--- a/crates/core/tests/flow.rs
+++ b/crates/core/tests/flow.rs
@@ -1,4 +1,5 @@
-//! Life of a model request: each failure ends in one final step, and what is held is released.
+//! State machine of a request: each failure leads to one final step and releases the resources
+//! held.
 
 use std::time;
 
@@ -11,7 +12,7 @@
 
 fn model(keyed: bool) -> flow::Flow {
     let deadline = time::Instant::now() + time::Duration::from_secs(60);
-    flow::Flow::new(flow::Path::Staged, flow::Rules::model(keyed, deadline))
+    flow::Flow::new(flow::Path::Staged, flow::RetryPolicy::model(keyed, deadline))
 }
 
 fn steps(flow: &mut flow::Flow, events: &[Event]) -> Vec<Step> {
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn whole_answer() {
+fn complete_answer() {
     let mut flow = model(false);
     let events = [Event::Begin, Event::Reserved, Event::Prefilled, Event::Streamed, Event::Ended];
     let steps = steps(&mut flow, &events);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn unsure_stays() {
+fn unknown_persists() {
     let mut flow = model(false);
     let events = [Event::Begin, failed(Outcome::Unknown, true), failed(Outcome::NotRun, false)];
     let steps = steps(&mut flow, &events);
@@ -88,11 +89,11 @@
     let mut flow = model(true);
     let events = [Event::Begin, Event::Reserved, Event::Prefilled, failed(Outcome::Unknown, true)];
     let taken = steps(&mut flow, &events);
-    assert_eq!(last_outcome(&taken), Outcome::Unknown, "never repeated");
+    assert_eq!(last_outcome(&taken), Outcome::Unknown, "a keyed request is not retried");
 
     let mut flow = model(true);
     let taken = steps(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true)]);
-    assert_eq!(taken.last(), Some(&Step::Reserve), "what did not run may be tried again");
+    assert_eq!(taken.last(), Some(&Step::Reserve), "a request that did not run is retried");
 }
 
 #[test]
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn stream_goes_on() {
+fn stream_resumed() {
     let mut flow = model(false);
     let events = [
         Event::Begin,
@@ -118,12 +119,12 @@
 
 fn direct(kind: routing::Kind) -> flow::Flow {
     let deadline = time::Instant::now() + time::Duration::from_secs(10);
-    let rules = flow::Rules { kind, attempts: 2, retries: 2, deadline };
-    flow::Flow::new(flow::Path::Direct, rules)
+    let policy = flow::RetryPolicy { kind, max_runs: 2, max_retries: 2, deadline };
+    flow::Flow::new(flow::Path::Direct, policy)
 }
 
 #[test]
-fn direct_call() {
+fn direct_retry() {
     let mut flow = direct(routing::Kind::Safe);
     let taken = steps(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true), Event::Ended]);
     let failed = Step::Release(Reason::EngineFailed);
@@ -136,16 +137,20 @@
     let unknown = failed(Outcome::Unknown, true);
     let taken = steps(&mut flow, &[Event::Begin, unknown.clone(), unknown]);
     let sends = taken.iter().filter(|step| **step == Step::Send).count();
-    assert_eq!(sends, 2, "it may run at two servers: {taken:?}");
+    assert_eq!(sends, 2, "the policy allows two runs: {taken:?}");
     assert_eq!(last_outcome(&taken), Outcome::Unknown);
 }
 
 #[test]
-fn begun_answer() {
+fn partial_answer() {
     let mut flow = direct(routing::Kind::Safe);
     let events = [Event::Begin, Event::Streamed, failed(Outcome::Unknown, true)];
     let taken = steps(&mut flow, &events);
-    assert_eq!(last_outcome(&taken), Outcome::Unknown, "a plain answer is not begun twice");
+    assert_eq!(
+        last_outcome(&taken),
+        Outcome::Unknown,
+        "a partly sent plain answer is not restarted"
+    );
 }
 
 #[test]
@@ -154,15 +159,15 @@
     let server = "yard-1".to_string();
     let not_run = Refusal::not_run(Reason::NoServer, SOON);
     let unknown = Refusal::unknown(Reason::EngineSilent, SOON);
-    let never = Refusal::not_run(Reason::Forbidden, SOON);
-    let once = direct(routing::Kind::Unsafe);
-    let safe = direct(routing::Kind::Safe);
-    assert!(once.may_retry(Some(&server), &not_run, now));
-    assert!(!once.may_retry(Some(&server), &unknown, now), "it may have run");
-    assert!(safe.may_retry(Some(&server), &unknown, now));
-    assert!(!safe.may_retry(None, &not_run, now), "there is no server");
-    assert!(!safe.may_retry(Some(&server), &never, now), "all servers would refuse");
+    let forbidden = Refusal::not_run(Reason::Forbidden, SOON);
+    let unsafe_flow = direct(routing::Kind::Unsafe);
+    let safe_flow = direct(routing::Kind::Safe);
+    assert!(unsafe_flow.may_retry(Some(&server), &not_run, now));
+    assert!(!unsafe_flow.may_retry(Some(&server), &unknown, now), "it may have run already");
+    assert!(safe_flow.may_retry(Some(&server), &unknown, now));
+    assert!(!safe_flow.may_retry(None, &not_run, now), "no server is available");
+    assert!(!safe_flow.may_retry(Some(&server), &forbidden, now), "every server would refuse");
     let late = now + time::Duration::from_secs(11);
-    assert!(!safe.may_retry(Some(&server), &not_run, late), "the deadline is past");
-    assert!(once.is_last_run() && !safe.is_last_run());
+    assert!(!safe_flow.may_retry(Some(&server), &not_run, late), "the deadline has passed");
+    assert!(unsafe_flow.is_last_run() && !safe_flow.is_last_run());
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -62,7 +62,7 @@
 
 struct Play {
     flow: flow::Flow,
-    rules: flow::Rules,
+    rules: flow::RetryPolicy,
     world: World,
     // Whether the retry budget has something left, call by call.
     budget: Vec<bool>,
@@ -160,8 +160,8 @@
         assert!(is_final(*last), "no final answer: {last:?}");
         assert!(!is_held || *last == Some(Step::Finish), "room stays held");
         assert_eq!(self.flow.retries(), *paid, "an attempt without budget, or budget without one");
-        assert!(*paid <= self.rules.retries && *sends <= 1 + paid);
-        assert!(all_runs <= self.rules.attempts, "ran {all_runs} times");
+        assert!(*paid <= self.rules.max_retries && *sends <= 1 + paid);
+        assert!(all_runs <= self.rules.max_runs, "ran {all_runs} times");
         let is_once = !self.rules.kind.is_repeatable();
         assert!(!is_once || all_runs <= 1, "ran {all_runs} times, and may run once");
         if let Some(Step::Refuse(Refusal { outcome: Outcome::NotRun, .. })) = last {
@@ -196,7 +196,7 @@
         lucks in proptest::collection::vec(luck(), 0..24),
     ) {
         let now = time::Instant::now();
-        let rules = flow::Rules { kind, attempts, retries, deadline: now + 10 * SOON };
+        let rules = flow::RetryPolicy { kind, max_runs: attempts, max_retries: retries, deadline: now + 10 * SOON };
         let path = if is_staged { flow::Path::Staged } else { flow::Path::Direct };
         let flow = flow::Flow::new(path, rules);
         let mut play = Play { flow, rules, world: World::default(), budget, now };
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -39,9 +39,14 @@
     }
 
     /// What the request may cost, with at most `retries` attempts after the first.
-    pub(crate) fn rules(&self, retries: u32) -> flow::Rules {
+    pub(crate) fn rules(&self, retries: u32) -> flow::RetryPolicy {
         let routing::Route { kind, attempts, .. } = self.route;
-        flow::Rules { kind, attempts, retries, deadline: self.deadline }
+        flow::RetryPolicy {
+            kind,
+            max_runs: attempts,
+            max_retries: retries,
+            deadline: self.deadline,
+        }
     }
 
     /// Where the request is counted.
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -70,7 +70,7 @@
         request: openai::Request,
         teller: teller::Teller,
     ) -> Completion {
-        let rules = flow::Rules::model(ticket.key.is_some(), ticket.deadline);
+        let rules = flow::RetryPolicy::model(ticket.key.is_some(), ticket.deadline);
         let flow = flow::Flow::new(flow::Path::Staged, rules);
         Completion {
             ticket,
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -190,9 +190,14 @@
 }
 
 // What may have run is repeated only if repeating it has no effect.
-fn rules(ticket: &admit::Ticket, method: &Method) -> flow::Rules {
+fn rules(ticket: &admit::Ticket, method: &Method) -> flow::RetryPolicy {
     let is_free = ticket.key.is_none() && method.is_idempotent();
     let kind = if is_free { routing::Kind::Safe } else { routing::Kind::Unsafe };
     let attempts = MAX_RETRIES + 1;
-    flow::Rules { kind, attempts, retries: MAX_RETRIES, deadline: ticket.deadline }
+    flow::RetryPolicy {
+        kind,
+        max_runs: attempts,
+        max_retries: MAX_RETRIES,
+        deadline: ticket.deadline,
+    }
 }
