--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -4,7 +4,7 @@
 
 use statig::prelude::*;
 
-use crate::{ids, outcome, repeat, routing};
+use crate::{ids, outcome, retry, routing};
 
 use outcome::{Outcome as RunOutcome, RETRY_SOON, Reason, Refusal};
 
@@ -198,7 +198,7 @@
         let is_resumable = kind == routing::Kind::Stream { resumable: true };
         self.retries < self.policy.max_retries
             && runs < self.policy.max_runs
-            && repeat::is_allowed(kind, refusal.outcome)
+            && retry::is_allowed(kind, refusal.outcome)
             && (is_resumable || !self.streamed)
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -37,7 +37,7 @@
 pub mod pool;
 pub mod queueing;
 pub mod record;
-pub mod repeat;
+pub mod retry;
 pub mod returns;
 pub mod rooms;
 pub mod routing;
--- /dev/null
+++ b/crates/core/src/retry.rs
@@ -0,0 +1,76 @@
+//! Retry rule, and the retry budget of a service that all entries share.
+
+use std::{collections, time};
+
+use crate::{outcome, routing};
+
+use outcome::Outcome;
+
+/// Whether a request of `kind` may be retried after an attempt that ended with `outcome`.
+pub fn is_allowed(kind: routing::Kind, outcome: Outcome) -> bool {
+    outcome == Outcome::NotRun || (outcome == Outcome::Unknown && kind.is_repeatable())
+}
+
+/// Limits on the retries at one service, by all entries together.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct BudgetLimits {
+    /// Retries allowed per request in a window.
+    pub ratio: f64,
+    /// Retries allowed in a window regardless of the number of requests.
+    pub slack: u32,
+    /// Length of the sliding window.
+    pub window: time::Duration,
+}
+
+/// One entry's share of the retry budget of one service, over a sliding window.
+#[derive(Clone, Debug)]
+pub struct SharedBudget {
+    limits: BudgetLimits,
+    requests: collections::VecDeque<time::Instant>,
+    retries: collections::VecDeque<time::Instant>,
+}
+
+/// Usable part of the budget; the rest covers entries that are not known yet.
+const USABLE_SHARE: f64 = 0.7;
+
+impl SharedBudget {
+    /// Creates an unused budget.
+    pub fn new(limits: BudgetLimits) -> SharedBudget {
+        let (requests, retries) = Default::default();
+        SharedBudget { limits, requests, retries }
+    }
+
+    /// Changes the limits.
+    pub fn set_limits(&mut self, limits: BudgetLimits) {
+        self.limits = limits;
+    }
+
+    /// Records a request for the service, which adds to the budget.
+    pub fn record_request(&mut self, now: time::Instant) {
+        self.prune(now);
+        self.requests.push_back(now);
+    }
+
+    /// Withdraws `count` retries from the share of one of `entries` entries; returns false if
+    /// too few are left.
+    pub fn try_withdraw(&mut self, count: u32, entries: u32, now: time::Instant) -> bool {
+        self.prune(now);
+        let slack = f64::from(self.limits.slack) / f64::from(entries.max(1));
+        let earned = self.limits.ratio * self.requests.len() as f64;
+        let spent = self.retries.len() as f64 + f64::from(count);
+        let is_allowed = spent <= (slack + earned) * USABLE_SHARE;
+        if is_allowed {
+            self.retries.extend((0..count).map(|_| now));
+        }
+        is_allowed
+    }
+
+    fn prune(&mut self, now: time::Instant) {
+        let window = self.limits.window;
+        for times in [&mut self.requests, &mut self.retries] {
+            while times.front().is_some_and(|at| *at + window < now) {
+                times.pop_front();
+            }
+        }
+    }
+}
--- a/crates/core/tests/repeats.rs
+++ b/crates/core/tests/retries.rs
@@ -1,20 +1,20 @@
-//! Which requests are sent again, and the budget that all entries share.
+//! Retry rule, and the retry budget that all entries share.
 
 mod random;
 
 use std::time;
 
-use rhubarb_core::{outcome, repeat, routing};
+use rhubarb_core::{outcome, retry, routing};
 
 use outcome::Outcome;
 use proptest::prelude::*;
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
-const ALLOWANCE: repeat::Allowance =
-    repeat::Allowance { ratio: 0.2, slack: 56, window: time::Duration::from_secs(10) };
+const LIMITS: retry::BudgetLimits =
+    retry::BudgetLimits { ratio: 0.2, slack: 56, window: time::Duration::from_secs(10) };
 
 #[test]
-fn rule_table() {
+fn retry_rule() {
     let safe = routing::Kind::Safe;
     let once = routing::Kind::Unsafe;
     let stream = routing::Kind::Stream { resumable: false };
@@ -31,47 +31,47 @@
         (safe, Outcome::Cancelled, false),
     ];
     for (kind, outcome, expected) in cases {
-        assert_eq!(repeat::is_allowed(kind, outcome), expected, "{kind:?} {outcome:?}");
+        assert_eq!(retry::is_allowed(kind, outcome), expected, "{kind:?} {outcome:?}");
     }
 }
 
 #[test]
-fn window_passes() {
+fn window_slides() {
     let now = time::Instant::now();
-    let mut repeats = repeat::Repeats::new(ALLOWANCE);
-    while repeats.take(1, 1, now) {}
-    assert!(!repeats.take(1, 1, now + 9 * SECOND));
-    assert!(repeats.take(1, 1, now + 11 * SECOND));
+    let mut budget = retry::SharedBudget::new(LIMITS);
+    while budget.try_withdraw(1, 1, now) {}
+    assert!(!budget.try_withdraw(1, 1, now + 9 * SECOND));
+    assert!(budget.try_withdraw(1, 1, now + 11 * SECOND));
 }
 
 proptest! {
     #![proptest_config(random::config(256))]
 
-    // Whatever the entries do, their repeats in any window stay within the shared bound.
+    // The retries of all entries in any window stay within the shared limit.
     #[test]
-    fn shared_bound(
+    fn shared_limit(
         steps in proptest::collection::vec((0usize..5, 0u64..400, 0u32..4), 1..600),
     ) {
         let start = time::Instant::now();
-        let mut entries: Vec<_> = (0..5).map(|_| repeat::Repeats::new(ALLOWANCE)).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let mut entries: Vec<_> = (0..5).map(|_| retry::SharedBudget::new(LIMITS)).collect();
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = start;
-        for (entry, pause, sends) in steps {
+        for (entry, pause, count) in steps {
             now += time::Duration::from_millis(pause);
-            entries[entry].note_request(now);
+            entries[entry].record_request(now);
             requests.push(now);
-            if sends > 0 && entries[entry].take(sends, 5, now) {
-                repeats.extend((0..sends).map(|_| now));
+            if count > 0 && entries[entry].try_withdraw(count, 5, now) {
+                retries.extend((0..count).map(|_| now));
             }
         }
-        for from in &repeats {
-            let is_within = |at: &&time::Instant| **at >= *from && **at < *from + ALLOWANCE.window;
-            let spent = repeats.iter().filter(is_within).count() as f64;
+        for from in &retries {
+            let is_within = |at: &&time::Instant| **at >= *from && **at < *from + LIMITS.window;
+            let spent = retries.iter().filter(is_within).count() as f64;
             // Requests of this window or the one before it.
             let earned = requests.iter().filter(|at| {
-                **at + ALLOWANCE.window >= *from && **at < *from + ALLOWANCE.window
+                **at + LIMITS.window >= *from && **at < *from + LIMITS.window
             });
-            let bound = ALLOWANCE.ratio * earned.count() as f64 + f64::from(ALLOWANCE.slack);
+            let bound = LIMITS.ratio * earned.count() as f64 + f64::from(LIMITS.slack);
             prop_assert!(spent <= bound, "{spent} of {bound}");
         }
     }
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, net, sync, time};
 
-use rhubarb_core::{engines, fleet, ids, load, outcome, pool, queueing, repeat, returns, routing};
+use rhubarb_core::{engines, fleet, ids, load, outcome, pool, queueing, retry, returns, routing};
 use rhubarb_wire::share;
 
 use crate::{ahead, rows};
@@ -12,7 +12,7 @@
 pub(crate) struct Service {
     pub(crate) pool: pool::Pool,
     pub(crate) engines: engines::Engines,
-    pub(crate) repeats: repeat::Repeats,
+    pub(crate) repeats: retry::SharedBudget,
     queueing: queueing::Queueing,
     returns: collections::BTreeMap<routing::RouteName, returns::Returns>,
 }
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: ids::ZoneName,
-    allowance: repeat::Allowance,
+    allowance: retry::BudgetLimits,
     config: Option<sync::Arc<routing::Config>>,
     /// What the store said, as it said it.
     pub(crate) rows: rows::Rows,
@@ -72,7 +72,7 @@
 const ASSUMED_ENTRIES: u32 = 8;
 
 impl Directory {
-    pub(crate) fn new(zone: &str, allowance: repeat::Allowance) -> Directory {
+    pub(crate) fn new(zone: &str, allowance: retry::BudgetLimits) -> Directory {
         Directory {
             zone: zone.to_string(),
             allowance,
@@ -181,7 +181,7 @@
         let fresh = || Service {
             pool: new_pool(zone),
             engines: engines::Engines::default(),
-            repeats: repeat::Repeats::new(allowance),
+            repeats: retry::SharedBudget::new(allowance),
             queueing: queueing::Queueing::default(),
             returns: collections::BTreeMap::new(),
         };
@@ -268,10 +268,10 @@
     }
 
     /// Changes the bounds on repeated sends.
-    pub(crate) fn set_allowance(&mut self, allowance: repeat::Allowance) {
+    pub(crate) fn set_allowance(&mut self, allowance: retry::BudgetLimits) {
         self.allowance = allowance;
         for service in self.services.values_mut() {
-            service.repeats.set_allowance(allowance);
+            service.repeats.set_limits(allowance);
         }
     }
 
@@ -283,6 +283,6 @@
     /// Takes `sends` repeats from the service's budget.
     pub(crate) fn take_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
         let entries = self.entries;
-        self.service(service).repeats.take(sends, entries, now)
+        self.service(service).repeats.try_withdraw(sends, entries, now)
     }
 }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -78,7 +78,7 @@
 
 async fn start(call: call::Call) -> Response<answer::Body> {
     let open = call::Open::new(&call.edge);
-    call.edge.directory().service(&call.service).repeats.note_request(clock::now());
+    call.edge.directory().service(&call.service).repeats.record_request(clock::now());
     let (reply, receiver) = reply::Reply::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
