--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -31,7 +31,7 @@
 pub(crate) struct Entry {
     pub(crate) prefills: pool::Pool,
     pub(crate) decodes: pool::Pool,
-    pub(crate) budget: budget::Budget,
+    pub(crate) budget: budget::RetryBudget,
     pub(crate) fair: fair::Fair,
     pub(crate) turn: usize,
 }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -86,7 +86,7 @@
         let entries = (0..frame::ZONES).map(|zone| Entry {
             prefills: make_pool(zone, &servers[..fleet.prefills], policy),
             decodes: make_pool(zone, &servers[fleet.prefills..], policy),
-            budget: budget::Budget::default(),
+            budget: budget::RetryBudget::default(),
             fair: fair::Fair::default(),
             turn: zone,
         });
@@ -319,7 +319,7 @@
         };
         let is_left = request.flow.may_retry(server.as_ref(), &refusal, self.now);
         let entry = request.entry;
-        let retry = is_left && self.entries[entry].budget.take(reason);
+        let retry = is_left && self.entries[entry].budget.try_withdraw(reason);
         self.requests[tag.request].refusal = Some(refusal);
         self.note_end(tag.request, at_prefill, pool::End::Bad(reason));
         if reason == Reason::Evicted {
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,45 +1,45 @@
-//! Retry budget of one service.
+//! Retry budget of one service at one entry.
 
 use crate::outcome;
 
 use outcome::Reason;
 
-/// Allows retries in proportion to the requests of the recent past.
+/// Token bucket that allows retries in proportion to recent requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
-    // In thousandths of a retry.
+pub struct RetryBudget {
     balance: u32,
 }
 
+// Amounts are in thousandths of a retry.
 const DEPOSIT: u32 = 100;
-const COST: u32 = 1000;
-const FLOOR: u32 = 5_000;
-const CEILING: u32 = 50_000;
+const RETRY_COST: u32 = 1000;
+const INITIAL_BALANCE: u32 = 5_000;
+const MAX_BALANCE: u32 = 50_000;
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget { balance: FLOOR }
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget { balance: INITIAL_BALANCE }
     }
 }
 
-impl Budget {
-    /// Notes a first attempt, which earns a tenth of a retry.
+impl RetryBudget {
+    /// Credits a first attempt, which earns a tenth of a retry.
     pub fn deposit(&mut self) {
-        self.balance = (self.balance + DEPOSIT).min(CEILING);
+        self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
-    /// Takes one retry after a failure for `reason`; false if none is left.
+    /// Withdraws one retry after a failure for `reason`; returns false if none is left.
     ///
     /// A retry after an attempt that cost no server any work is free.
-    pub fn take(&mut self, reason: Reason) -> bool {
+    pub fn try_withdraw(&mut self, reason: Reason) -> bool {
         if is_free(reason) {
             return true;
         }
-        let has = self.balance >= COST;
-        if has {
-            self.balance -= COST;
+        let is_allowed = self.balance >= RETRY_COST;
+        if is_allowed {
+            self.balance -= RETRY_COST;
         }
-        has
+        is_allowed
     }
 }
 
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -82,13 +82,13 @@
 
 #[test]
 fn budget_bounded() {
-    let mut budget = budget::Budget::default();
-    let first = (0..100).filter(|_| budget.take(Reason::EngineFailed)).count();
+    let mut budget = budget::RetryBudget::default();
+    let first = (0..100).filter(|_| budget.try_withdraw(Reason::EngineFailed)).count();
     assert_eq!(first, 5);
     for _ in 0..100 {
         budget.deposit();
     }
-    let earned = (0..100).filter(|_| budget.take(Reason::EngineFailed)).count();
+    let earned = (0..100).filter(|_| budget.try_withdraw(Reason::EngineFailed)).count();
     assert_eq!(earned, 10, "a tenth of the requests");
-    assert!(budget.take(Reason::Leaving), "free: no server did any work");
+    assert!(budget.try_withdraw(Reason::Leaving), "free: no server did any work");
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -91,7 +91,7 @@
 
     /// Takes a retry from the budget of a service, and counts it.
     pub(crate) fn take_retry(&self, service: &str, caller: &str, reason: outcome::Reason) -> bool {
-        let taken = self.directory.view().budget(service).take(reason);
+        let taken = self.directory.view().budget(service).try_withdraw(reason);
         if taken {
             self.metrics.requests.retried.get_or_create(&metrics::labels(reason)).inc();
             self.ledger().totals(service, caller).retry(reason);
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -26,7 +26,7 @@
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
     members: collections::BTreeMap<ids::ServiceName, home::Members>,
-    budgets: collections::BTreeMap<ids::ServiceName, budget::Budget>,
+    budgets: collections::BTreeMap<ids::ServiceName, budget::RetryBudget>,
     fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
     paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
     digests: collections::BTreeMap<String, ids::CallerName>,
@@ -217,7 +217,7 @@
     }
 
     /// Retry budget of a service.
-    pub(crate) fn budget(&mut self, service: &str) -> &mut budget::Budget {
+    pub(crate) fn budget(&mut self, service: &str) -> &mut budget::RetryBudget {
         self.budgets.entry(service.to_string()).or_default()
     }
 
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -140,7 +140,9 @@
     meter.size("usage row in a stored record", bytes / CALLERS as usize);
 }
 
-fn all_limits(now: time::Instant) -> std::collections::BTreeMap<ids::CallerName, limit::Limit> {
+fn all_limits(
+    now: time::Instant,
+) -> std::collections::BTreeMap<ids::CallerName, limit::Limit> {
     let limits = (0..CALLERS).map(|number| {
         let name = format!("caller-{number}");
         (name, limit::Limit::new(100, 4, now))
