--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of one caller at one entry.
+//! Rate and concurrency limits of one caller at one entry.
 
 use std::time;
 
@@ -8,27 +8,29 @@
 
 /// Token bucket and in-flight count of one caller.
 ///
-/// An entry grants its share of the caller's limits, which is the limit divided by the number
-/// of live entries; no messages between entries are needed.
+/// Each entry enforces the caller's limits divided by the number of live entries, so entries
+/// exchange no messages about them.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct CallerLimiter {
     tokens: f64,
-    filled: time::Instant,
-    open: u32,
+    refilled_at: time::Instant,
+    in_flight: u32,
 }
 
-const OPEN_RETRY: time::Duration = time::Duration::from_millis(500);
+/// Retry delay of a caller with too many requests in flight.
+const CONCURRENCY_RETRY: time::Duration = time::Duration::from_millis(500);
 
-impl Limit {
-    /// Starts with one second's worth of the share of `rate`.
-    pub fn new(rate: u32, entries: u32, now: time::Instant) -> Limit {
-        Limit { tokens: share(rate, entries), filled: now, open: 0 }
+impl CallerLimiter {
+    /// Creates a limiter whose bucket holds one second of this entry's share of `rate`, in
+    /// requests per second.
+    pub fn new(rate: u32, entries: u32, now: time::Instant) -> CallerLimiter {
+        CallerLimiter { tokens: share(rate, entries), refilled_at: now, in_flight: 0 }
     }
 
-    /// Admits a request or tells when to come back.
+    /// Admits a request, or refuses it with a retry delay.
     ///
     /// # Errors
-    /// Returns the refusal where the caller exceeds its rate or its requests in flight.
+    /// Returns a refusal if the caller exceeds its rate or its number of requests in flight.
     pub fn admit(
         &mut self,
         rate: u32,
@@ -37,33 +39,33 @@
         now: time::Instant,
     ) -> Result<(), Refusal> {
         let rate = share(rate, entries);
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * rate).min(rate.max(1.0));
-        self.filled = now;
-        if f64::from(self.open) >= share(concurrent, entries) {
-            return Err(Refusal::not_run(Reason::OverConcurrent, OPEN_RETRY));
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
+        self.refilled_at = now;
+        if f64::from(self.in_flight) >= share(concurrent, entries) {
+            return Err(Refusal::not_run(Reason::OverConcurrent, CONCURRENCY_RETRY));
         }
         if self.tokens < 1.0 {
             let wait = time::Duration::from_secs_f64((1.0 - self.tokens) / rate);
             return Err(Refusal::not_run(Reason::OverRate, wait));
         }
         self.tokens -= 1.0;
-        self.open += 1;
+        self.in_flight += 1;
         Ok(())
     }
 
-    /// Notes the end of an admitted request.
+    /// Records the end of an admitted request.
     pub fn release(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Requests in flight.
-    pub fn open(&self) -> u32 {
-        self.open
+    /// Number of requests in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 }
 
-// Every entry may let at least one request through, however many entries there are.
+// Each entry admits at least one request, however many entries there are.
 fn share(limit: u32, entries: u32) -> f64 {
     (f64::from(limit) / f64::from(entries.max(1))).max(1.0)
 }
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -12,7 +12,7 @@
 #[test]
 fn rate_kept() {
     let now = time::Instant::now();
-    let mut limit = limit::Limit::new(40, 4, now);
+    let mut limit = limit::CallerLimiter::new(40, 4, now);
     let admitted = (0..100).filter(|_| limit.admit(40, 1000, 4, now).is_ok()).count();
     assert_eq!(admitted, 10, "a quarter of the rate at one of four entries");
     let refusal = limit.admit(40, 1000, 4, now).unwrap_err();
@@ -24,7 +24,7 @@
 #[test]
 fn concurrent_kept() {
     let now = time::Instant::now();
-    let mut limit = limit::Limit::new(100, 1, now);
+    let mut limit = limit::CallerLimiter::new(100, 1, now);
     assert!(limit.admit(100, 2, 1, now).is_ok());
     assert!(limit.admit(100, 2, 1, now).is_ok());
     assert_eq!(limit.admit(100, 2, 1, now).unwrap_err().reason, Reason::OverConcurrent);
@@ -35,7 +35,7 @@
 #[test]
 fn low_rates_pass() {
     let now = time::Instant::now();
-    let mut limit = limit::Limit::new(1, 900, now);
+    let mut limit = limit::CallerLimiter::new(1, 900, now);
     assert!(limit.admit(1, 1, 900, now).is_ok(), "every entry lets one through");
 }
 
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -104,7 +104,7 @@
 ) -> Result<(), Refusal> {
     let entries = entry.directory.view().entries();
     let mut limits = entry.limits();
-    let fresh = || limit::Limit::new(caller.rate, entries, now);
+    let fresh = || limit::CallerLimiter::new(caller.rate, entries, now);
     let limit = limits.entry(caller.name.clone()).or_insert_with(fresh);
     limit.admit(caller.rate, caller.concurrent, entries, now)
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -21,7 +21,7 @@
     pub(crate) backend: backend::Backend,
     stopped_at: sync::OnceLock<time::Instant>,
     pub(crate) open: atomic::AtomicU64,
-    limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::Limit>>,
+    limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::CallerLimiter>>,
     ledger: sync::Mutex<usage::Ledger>,
 }
 
@@ -76,7 +76,7 @@
 
     pub(crate) fn limits(
         &self,
-    ) -> sync::MutexGuard<'_, collections::BTreeMap<ids::CallerName, limit::Limit>> {
+    ) -> sync::MutexGuard<'_, collections::BTreeMap<ids::CallerName, limit::CallerLimiter>> {
         locks::lock(&self.limits)
     }
 
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -142,10 +142,10 @@
 
 fn all_limits(
     now: time::Instant,
-) -> std::collections::BTreeMap<ids::CallerName, limit::Limit> {
+) -> std::collections::BTreeMap<ids::CallerName, limit::CallerLimiter> {
     let limits = (0..CALLERS).map(|number| {
         let name = format!("caller-{number}");
-        (name, limit::Limit::new(100, 4, now))
+        (name, limit::CallerLimiter::new(100, 4, now))
     });
     limits.collect()
 }
