--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_core::{fair, flow, outcome};
+use rhubarb_core::{fair_share, flow, outcome};
 
 use crate::{frame, random};
 
@@ -14,7 +14,7 @@
     pub(crate) prompt: u32,
     pub(crate) prefix: u64,
     pub(crate) output: u32,
-    pub(crate) share: fair::Share,
+    pub(crate) share: fair_share::Share,
     pub(crate) arrived: time::Instant,
     pub(crate) leaves: Option<time::Instant>,
     pub(crate) flow: flow::Flow,
@@ -61,7 +61,7 @@
         prompt: random.log_uniform(PROMPT_TOKENS.0, PROMPT_TOKENS.1) as u32,
         prefix: random.next() % PREFIXES,
         output: random.log_uniform(OUTPUT_TOKENS.0, OUTPUT_TOKENS.1) as u32,
-        share: fair::Share::Within,
+        share: fair_share::Share::Within,
         arrived,
         leaves: leaves.then(|| arrived + after),
         flow: flow::Flow::new(
--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use rhubarb_core::{budget, fair, ids, pace, pool, rooms};
+use rhubarb_core::{budget, fair_share, ids, pace, pool, rooms};
 
 use crate::{engine, event, policy};
 
@@ -32,7 +32,7 @@
     pub(crate) prefills: pool::Pool,
     pub(crate) decodes: pool::Pool,
     pub(crate) budget: budget::RetryBudget,
-    pub(crate) fair: fair::Fair,
+    pub(crate) fair: fair_share::FairShare,
     pub(crate) turn: usize,
 }
 
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::{cmp, collections, time};
 
-use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, rooms, usage};
+use rhubarb_core::{budget, fair_share, flow, ids, load, outcome, pace, pool, rooms, usage};
 
 use crate::{engine, event, frame, policy, random, request, score, server};
 
@@ -87,7 +87,7 @@
             prefills: make_pool(zone, &servers[..fleet.prefills], policy),
             decodes: make_pool(zone, &servers[fleet.prefills..], policy),
             budget: budget::RetryBudget::default(),
-            fair: fair::Fair::default(),
+            fair: fair_share::FairShare::default(),
             turn: zone,
         });
         World {
@@ -411,7 +411,7 @@
         let request = &self.requests[tag.request];
         let wait_by =
             (request.arrived + self.run.fleet.deadline).min(self.now + self.run.fleet.max_wait);
-        let is_excess = request.share == fair::Share::Excess;
+        let is_excess = request.share == fair_share::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
         let answer = if is_excess {
             rooms.ask_spare(tag.run(), time::Duration::ZERO, self.now)
@@ -445,7 +445,7 @@
             request.arrived + self.run.fleet.deadline
         };
         let work = if self.policy.work { work } else { time::Duration::ZERO };
-        let answer = if request.share == fair::Share::Excess {
+        let answer = if request.share == fair_share::Share::Excess {
             state.rooms.ask_spare(tag.run(), work, self.now)
         } else {
             state.rooms.ask_for(tag.run(), work, start_by, self.now)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod engine;
 pub mod engines;
 pub mod events;
-pub mod fair;
+pub mod fair_share;
 pub mod fleet;
 pub mod flow;
 pub mod gate;
--- a/crates/core/tests/shares.rs
+++ b/crates/core/tests/shares.rs
@@ -1,54 +1,55 @@
-//! Limits of callers, fair shares and retry budgets.
+//! Rate and concurrency limits of callers, fair shares and retry budgets.
 
 use std::time;
 
-use rhubarb_core::{budget, fair, limit, outcome};
+use rhubarb_core::{budget, fair_share, limit, outcome};
 
-use fair::Share;
+use fair_share::Share;
 use outcome::Reason;
 
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
 #[test]
-fn rate_kept() {
+fn rate_limit() {
     let now = time::Instant::now();
-    let mut limit = limit::CallerLimiter::new(40, 4, now);
-    let admitted = (0..100).filter(|_| limit.admit(40, 1000, 4, now).is_ok()).count();
+    let mut limiter = limit::CallerLimiter::new(40, 4, now);
+    let admitted = (0..100).filter(|_| limiter.admit(40, 1000, 4, now).is_ok()).count();
     assert_eq!(admitted, 10, "a quarter of the rate at one of four entries");
-    let refusal = limit.admit(40, 1000, 4, now).unwrap_err();
+    let refusal = limiter.admit(40, 1000, 4, now).unwrap_err();
     assert_eq!(refusal.reason, Reason::OverRate);
-    let again = now + refusal.retry.unwrap();
-    assert!(limit.admit(40, 1000, 4, again).is_ok(), "told when to come back");
+    let retry_at = now + refusal.retry.unwrap();
+    assert!(limiter.admit(40, 1000, 4, retry_at).is_ok(), "admitted after the retry delay");
 }
 
 #[test]
-fn concurrent_kept() {
+fn concurrency_limit() {
     let now = time::Instant::now();
-    let mut limit = limit::CallerLimiter::new(100, 1, now);
-    assert!(limit.admit(100, 2, 1, now).is_ok());
-    assert!(limit.admit(100, 2, 1, now).is_ok());
-    assert_eq!(limit.admit(100, 2, 1, now).unwrap_err().reason, Reason::OverConcurrent);
-    limit.release();
-    assert!(limit.admit(100, 2, 1, now).is_ok());
+    let mut limiter = limit::CallerLimiter::new(100, 1, now);
+    assert!(limiter.admit(100, 2, 1, now).is_ok());
+    assert!(limiter.admit(100, 2, 1, now).is_ok());
+    assert_eq!(limiter.admit(100, 2, 1, now).unwrap_err().reason, Reason::OverConcurrent);
+    limiter.release();
+    assert!(limiter.admit(100, 2, 1, now).is_ok());
 }
 
 #[test]
-fn low_rates_pass() {
+fn minimum_rate() {
     let now = time::Instant::now();
-    let mut limit = limit::CallerLimiter::new(1, 900, now);
-    assert!(limit.admit(1, 1, 900, now).is_ok(), "every entry lets one through");
+    let mut limiter = limit::CallerLimiter::new(1, 900, now);
+    assert!(limiter.admit(1, 1, 900, now).is_ok(), "each entry admits one request");
 }
 
-/// Excess requests of callers that send at the given rates for ten seconds.
+/// Counts the excess requests of callers that send at the given rates, in requests per second,
+/// for ten seconds.
 fn excess(rates: &[u32]) -> Vec<u32> {
     let start = time::Instant::now();
-    let mut fair = fair::Fair::default();
+    let mut shares = fair_share::FairShare::default();
     let mut excess = vec![0; rates.len()];
     for tick in 0..1000u32 {
         let now = start + SECOND / 100 * tick;
         for (caller, rate) in rates.iter().enumerate() {
             let is_due = tick * rate / 100 != (tick + 1) * rate / 100;
-            if is_due && fair.admit(&format!("caller-{caller}"), now) == Share::Excess {
+            if is_due && shares.admit(&format!("caller-{caller}"), now) == Share::Excess {
                 excess[caller] += 1;
             }
         }
@@ -59,7 +60,7 @@
 #[test]
 fn equal_callers() {
     assert_eq!(excess(&[10, 10, 10, 10]), [0, 0, 0, 0]);
-    assert_eq!(excess(&[50]), [0], "a caller alone is not limited");
+    assert_eq!(excess(&[50]), [0], "a single caller is not limited");
 }
 
 #[test]
@@ -70,18 +71,18 @@
 }
 
 #[test]
-fn forgiven_later() {
+fn share_recovers() {
     let start = time::Instant::now();
-    let mut fair = fair::Fair::default();
+    let mut shares = fair_share::FairShare::default();
     for caller in 0..10 {
-        fair.admit(&format!("caller-{caller}"), start);
+        shares.admit(&format!("caller-{caller}"), start);
     }
-    while fair.admit("caller-0", start) == Share::Within {}
-    assert_eq!(fair.admit("caller-0", start + 60 * SECOND), Share::Within);
+    while shares.admit("caller-0", start) == Share::Within {}
+    assert_eq!(shares.admit("caller-0", start + 60 * SECOND), Share::Within);
 }
 
 #[test]
-fn budget_bounded() {
+fn retry_budget() {
     let mut budget = budget::RetryBudget::default();
     let first = (0..100).filter(|_| budget.try_withdraw(Reason::EngineFailed)).count();
     assert_eq!(first, 5);
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -4,7 +4,7 @@
 
 use hyper::{HeaderMap, header};
 
-use rhubarb_core::{fair, ids, limit, list, outcome};
+use rhubarb_core::{fair_share, ids, limit, list, outcome};
 use rhubarb_node::clock;
 
 use crate::{entry, refuse};
@@ -83,7 +83,7 @@
     let excess = {
         let mut view = entry.directory.view();
         view.budget(&service.name).deposit();
-        view.fair(&service.name).admit(&caller.name, arrived) == fair::Share::Excess
+        view.fair(&service.name).admit(&caller.name, arrived) == fair_share::Share::Excess
     };
     Ok(Ticket {
         entry: entry.clone(),
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,7 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, editions, fair, home, ids, list, load, pace, pool, subset};
+use rhubarb_core::{budget, editions, fair_share, home, ids, list, load, pace, pool, subset};
 use rhubarb_node::{editions as news, instances};
 
 /// Pools by service and role.
@@ -27,7 +27,7 @@
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
     members: collections::BTreeMap<ids::ServiceName, home::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::RetryBudget>,
-    fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
+    fairs: collections::BTreeMap<ids::ServiceName, fair_share::FairShare>,
     paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
     digests: collections::BTreeMap<String, ids::CallerName>,
 }
@@ -207,7 +207,7 @@
     }
 
     /// Fair shares of the callers of a service.
-    pub(crate) fn fair(&mut self, service: &str) -> &mut fair::Fair {
+    pub(crate) fn fair(&mut self, service: &str) -> &mut fair_share::FairShare {
         self.fairs.entry(service.to_string()).or_default()
     }
 
