--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -5,7 +5,7 @@
 use prometheus_client::metrics::{counter, gauge};
 use tokio::{sync as lock, task};
 
-use rhubarb_core::{editions, gate, ids, list, load, outcome, pace, rooms};
+use rhubarb_core::{editions, gate, ids, list, load, outcome, prefill_time, rooms};
 use rhubarb_node::{client, clock, instances, locks, metrics, objects, table};
 use rhubarb_wire::message;
 
@@ -31,7 +31,7 @@
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
     pub(crate) rooms: rooms::Rooms,
-    pub(crate) pace: pace::Pace,
+    pub(crate) pace: prefill_time::PrefillTime,
     pub(crate) editions: editions::Editions,
     pub(crate) gone: collections::BTreeSet<ids::ServerName>,
     pub(crate) instances: Vec<instances::Instance>,
@@ -104,7 +104,7 @@
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
             rooms: rooms::Rooms::new(0, settings.queue, RESERVATION),
-            pace: pace::Pace::default(),
+            pace: prefill_time::PrefillTime::default(),
             editions: editions::Editions::default(),
             gone: collections::BTreeSet::new(),
             instances: Vec::new(),
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, time};
 
-use rhubarb_core::{gate, ids, outcome, pace, rooms};
+use rhubarb_core::{gate, ids, outcome, prefill_time, rooms};
 use rhubarb_node::clock;
 use rhubarb_wire::message;
 
@@ -90,11 +90,11 @@
         }
         Job::Prefill(prefill) => {
             let work = state.pace.estimate(prefill.prompt.len() as u32);
-            let due = pace::Due {
+            let due = prefill_time::PromptDeadline {
                 first_token: agent.at(prefill.due_ms),
                 max_wait: time::Duration::from_millis(prefill.max_wait_ms),
             };
-            (prefill.excess, work, due.start_by(work, now).min(start_by))
+            (prefill.excess, work, due.latest_start(work, now).min(start_by))
         }
     };
     if excess {
--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -56,6 +56,6 @@
     let mut state = agent.lock();
     let sharing = state.rooms.load(clock::now()).held.max(1);
     let work = took / sharing;
-    state.pace.learn(size, work);
+    state.pace.record(size, work);
     work
 }
--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use rhubarb_core::{budget, fair_share, ids, pace, pool, rooms};
+use rhubarb_core::{budget, fair_share, ids, pool, prefill_time, rooms};
 
 use crate::{engine, event, policy};
 
@@ -18,7 +18,7 @@
     pub(crate) zone: usize,
     pub(crate) rooms: rooms::Rooms,
     pub(crate) engine: engine::Engine,
-    pub(crate) pace: pace::Pace,
+    pub(crate) pace: prefill_time::PrefillTime,
     pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
     // Prefill results or reservations by run.
     pub(crate) done_at: collections::BTreeMap<ids::RunId, time::Instant>,
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -2,7 +2,9 @@
 
 use std::{cmp, collections, time};
 
-use rhubarb_core::{budget, fair_share, flow, ids, load, outcome, pace, pool, rooms, usage};
+use rhubarb_core::{
+    budget, fair_share, flow, ids, load, outcome, pool, prefill_time, rooms, usage,
+};
 
 use crate::{engine, event, frame, policy, random, request, score, server};
 
@@ -75,7 +77,7 @@
                 zone: number % frame::ZONES,
                 rooms: rooms::Rooms::new(rooms, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
-                pace: pace::Pace::default(),
+                pace: prefill_time::PrefillTime::default(),
                 waiting: collections::BTreeMap::new(),
                 done_at: collections::BTreeMap::new(),
                 dead: false,
@@ -270,7 +272,7 @@
             }
         };
         let work = if is_prefill {
-            pace::Pace::default().estimate(request.prompt)
+            prefill_time::PrefillTime::default().estimate(request.prompt)
         } else {
             time::Duration::ZERO
         };
@@ -439,8 +441,8 @@
         let start_by = if self.policy.due {
             let fleet = &self.run.fleet;
             let first_token = request.arrived + fleet.first_token;
-            let due = pace::Due { first_token, max_wait: fleet.max_wait };
-            due.start_by(work, self.now)
+            let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
+            due.latest_start(work, self.now)
         } else {
             request.arrived + self.run.fleet.deadline
         };
@@ -469,7 +471,7 @@
         request.unused = request.prompt;
         request.source = server;
         let (work, done) = server_ref.engine.prefill(request, self.now);
-        server_ref.pace.learn(request.prompt, work);
+        server_ref.pace.record(request.prompt, work);
         self.push_at(done, Event::PrefillEnds { tag, server });
     }
 
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,9 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, editions, fair_share, home, ids, list, load, pace, pool, subset};
+use rhubarb_core::{
+    budget, editions, fair_share, home, ids, list, load, pool, prefill_time, subset,
+};
 use rhubarb_node::{editions as news, instances};
 
 /// Pools by service and role.
@@ -28,7 +30,7 @@
     members: collections::BTreeMap<ids::ServiceName, home::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::RetryBudget>,
     fairs: collections::BTreeMap<ids::ServiceName, fair_share::FairShare>,
-    paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
+    paces: collections::BTreeMap<ids::ServiceName, prefill_time::PrefillTime>,
     digests: collections::BTreeMap<String, ids::CallerName>,
 }
 
@@ -212,7 +214,7 @@
     }
 
     /// Pace of the prefill engines of a service.
-    pub(crate) fn pace(&mut self, service: &str) -> &mut pace::Pace {
+    pub(crate) fn pace(&mut self, service: &str) -> &mut prefill_time::PrefillTime {
         self.paces.entry(service.to_string()).or_default()
     }
 
