--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -38,7 +38,7 @@
 pub mod queueing;
 pub mod record;
 pub mod retry;
-pub mod returns;
+pub mod retry_detector;
 pub mod rooms;
 pub mod routing;
 pub mod section;
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -2,7 +2,9 @@
 
 use std::{collections, net, sync, time};
 
-use rhubarb_core::{engines, fleet, ids, load, outcome, pool, queueing, retry, returns, routing};
+use rhubarb_core::{
+    engines, fleet, ids, load, outcome, pool, queueing, retry, retry_detector, routing,
+};
 use rhubarb_wire::share;
 
 use crate::{ahead, rows};
@@ -14,7 +16,7 @@
     pub(crate) engines: engines::Engines,
     pub(crate) repeats: retry::SharedBudget,
     queueing: queueing::Queueing,
-    returns: collections::BTreeMap<routing::RouteName, returns::Returns>,
+    returns: collections::BTreeMap<routing::RouteName, retry_detector::RetryDetector>,
 }
 
 /// Server for a plain request.
@@ -252,7 +254,7 @@
     /// Notes a request, and whether its caller, who waits for `left`, has asked before.
     pub(crate) fn note_asked(&mut self, service: &str, route: &str, left: time::Duration) -> bool {
         let returns = &mut self.service(service).returns;
-        returns.entry(route.to_string()).or_default().note(left)
+        returns.entry(route.to_string()).or_default().record(left)
     }
 
     /// Learns how long a plain service works on a request.
