--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -35,7 +35,7 @@
 pub mod parse;
 pub mod pool;
 pub mod prefill_time;
-pub mod queueing;
+pub mod queue_limit;
 pub mod record;
 pub mod retry;
 pub mod retry_detector;
--- a/crates/core/src/retry_detector.rs
+++ b/crates/core/src/retry_detector.rs
@@ -8,7 +8,7 @@
     max_timeout: time::Duration,
 }
 
-/// A remaining timeout below this part of the maximum indicates a retry. On the users' bench
+/// A remaining timeout below this part of the maximum indicates a retry: on the users' bench
 /// first requests had 12 to 14 s left, and retries 6 to 11.5 s.
 const FIRST_REQUEST_SHARE: f64 = 0.85;
 /// Part of the maximum that decays with each request.
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -3,7 +3,7 @@
 use std::{collections, net, sync, time};
 
 use rhubarb_core::{
-    engines, fleet, ids, load, outcome, pool, queueing, retry, retry_detector, routing,
+    engines, fleet, ids, load, outcome, pool, queue_limit, retry, retry_detector, routing,
 };
 use rhubarb_wire::share;
 
@@ -15,7 +15,7 @@
     pub(crate) pool: pool::Pool,
     pub(crate) engines: engines::Engines,
     pub(crate) repeats: retry::SharedBudget,
-    queueing: queueing::Queueing,
+    queueing: queue_limit::QueueLimit,
     returns: collections::BTreeMap<routing::RouteName, retry_detector::RetryDetector>,
 }
 
@@ -184,7 +184,7 @@
             pool: new_pool(zone),
             engines: engines::Engines::default(),
             repeats: retry::SharedBudget::new(allowance),
-            queueing: queueing::Queueing::default(),
+            queueing: queue_limit::QueueLimit::default(),
             returns: collections::BTreeMap::new(),
         };
         self.services.entry(name.to_string()).or_insert_with(fresh)
@@ -259,7 +259,7 @@
 
     /// Learns how long a plain service works on a request.
     pub(crate) fn learn(&mut self, service: &str, took: time::Duration, load: load::Load) {
-        self.service(service).queueing.learn(took, load);
+        self.service(service).queueing.record(took, load);
     }
 
     /// Takes the load that a server told with an answer.
