--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{ids, load, outcome, record};
+use crate::{ids, load, outcome, outlier};
 
 use outcome::Reason;
 
@@ -30,7 +30,7 @@
     /// Known to be leaving.
     pub leaving: bool,
     /// Failures among its own answers.
-    pub record: record::Record,
+    pub record: outlier::FailureRate,
 }
 
 /// How an entry judges servers.
@@ -122,7 +122,7 @@
             ejections: 0,
             ejected: None,
             leaving: false,
-            record: record::Record::default(),
+            record: outlier::FailureRate::default(),
         };
         self.servers.entry(name.to_string()).or_insert_with(fresh).zone = zone.to_string();
     }
@@ -225,10 +225,10 @@
     /// most of the others are not.
     pub fn answered(&mut self, name: &str, has_failed: bool, now: time::Instant) {
         let Some(server) = self.servers.get_mut(name) else { return };
-        server.record.note(has_failed);
+        server.record.record(has_failed);
         let others: Vec<_> = self.servers.iter().filter(|(other, _)| *other != name).collect();
         let records = others.iter().map(|(_, server)| &server.record);
-        let usual = record::median(records);
+        let usual = outlier::median(records);
         let is_out = |server: &Server| server.ejected.is_some_and(|until| now < until);
         let out = others.iter().filter(|(_, server)| is_out(server)).count();
         let growing = self.tuning.growing;
@@ -238,7 +238,7 @@
         if let (Some(server), Some(usual)) = (self.servers.get_mut(name), usual)
             && server.record.is_outlier(usual)
         {
-            server.record = record::Record::default();
+            server.record = outlier::FailureRate::default();
             server.eject(EJECT_FOR, growing, now);
         }
     }
--- a/crates/core/tests/records.rs
+++ b/crates/core/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Servers that fail part of their requests while all else looks well.
+//! Ejection of servers that fail far more of their requests than the others.
 
 use std::time;
 
@@ -16,65 +16,65 @@
     pool
 }
 
-// Every `every`th answer of a server is a failure.
-fn answer(pool: &mut pool::Pool, name: &str, count: u32, every: u32, now: time::Instant) {
+// Records `count` answers of a server, of which each `every`th is a failure.
+fn record_answers(pool: &mut pool::Pool, name: &str, count: u32, every: u32, now: time::Instant) {
     for number in 0..count {
         pool.answered(name, number % every == every - 1, now);
     }
 }
 
-fn sound(pool: &pool::Pool, now: time::Instant) -> Vec<String> {
+fn healthy(pool: &pool::Pool, now: time::Instant) -> Vec<String> {
     pool.candidates(&[], |_| true, now).into_iter().cloned().collect()
 }
 
 #[test]
-fn grey_left_out() {
+fn outlier_ejected() {
     let now = time::Instant::now();
     let mut pool = pool(3, now);
     for name in ["s-0", "s-1"] {
-        answer(&mut pool, name, 30, 7, now);
+        record_answers(&mut pool, name, 30, 7, now);
     }
-    answer(&mut pool, "s-2", 30, 2, now);
-    assert_eq!(sound(&pool, now), ["s-0", "s-1"]);
-    assert_eq!(sound(&pool, now + 6 * SECOND).len(), 3, "it is tried again");
+    record_answers(&mut pool, "s-2", 30, 2, now);
+    assert_eq!(healthy(&pool, now), ["s-0", "s-1"]);
+    assert_eq!(healthy(&pool, now + 6 * SECOND).len(), 3, "the ejection has expired");
 }
 
 #[test]
-fn usual_failures() {
-    // Some requests fail wherever they run; that says nothing of a server.
+fn equal_low_rates() {
+    // Some requests fail at every server, which makes none of them an outlier.
     let now = time::Instant::now();
     let mut pool = pool(3, now);
     for _ in 0..20 {
         for name in ["s-0", "s-1", "s-2"] {
-            answer(&mut pool, name, 7, 7, now);
+            record_answers(&mut pool, name, 7, 7, now);
         }
     }
-    assert_eq!(sound(&pool, now).len(), 3);
+    assert_eq!(healthy(&pool, now).len(), 3);
 }
 
 #[test]
-fn all_fail_alike() {
+fn equal_high_rates() {
     let now = time::Instant::now();
     let mut pool = pool(3, now);
     for _ in 0..30 {
         for name in ["s-0", "s-1", "s-2"] {
-            answer(&mut pool, name, 2, 2, now);
+            record_answers(&mut pool, name, 2, 2, now);
         }
     }
-    assert_eq!(sound(&pool, now).len(), 3);
+    assert_eq!(healthy(&pool, now).len(), 3);
 }
 
 #[test]
-fn most_stay() {
+fn ejections_limited() {
     let now = time::Instant::now();
     let mut pool = pool(6, now);
     for name in ["s-0", "s-1", "s-2", "s-3"] {
-        answer(&mut pool, name, 30, 20, now);
+        record_answers(&mut pool, name, 30, 20, now);
     }
     for name in ["s-4", "s-5", "s-3"] {
-        answer(&mut pool, name, 60, 1, now);
+        record_answers(&mut pool, name, 60, 1, now);
     }
-    assert!(sound(&pool, now).len() >= 4, "no more than a third is left out");
+    assert!(healthy(&pool, now).len() >= 4, "at most a third is ejected");
 }
 
 #[test]
@@ -82,8 +82,8 @@
     let now = time::Instant::now();
     let mut pool = pool(3, now);
     for name in ["s-0", "s-1"] {
-        answer(&mut pool, name, 30, 20, now);
+        record_answers(&mut pool, name, 30, 20, now);
     }
-    answer(&mut pool, "s-2", 5, 1, now);
-    assert_eq!(sound(&pool, now).len(), 3);
+    record_answers(&mut pool, "s-2", 5, 1, now);
+    assert_eq!(healthy(&pool, now).len(), 3);
 }
