--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,7 +11,6 @@
 //! assert_eq!(list.services["board"].servers(), ["board-1"]);
 //! ```
 
-pub mod assembly;
 pub mod budget;
 pub mod change;
 pub mod edition;
@@ -37,6 +36,7 @@
 pub mod pool;
 pub mod prefill_time;
 pub mod queue_limit;
+pub mod reassembly;
 pub mod retry;
 pub mod retry_detector;
 pub mod rooms;
--- a/crates/entry/src/keeper.rs
+++ b/crates/entry/src/keeper.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::{mpsc, watch};
 
-use rhubarb_core::{assembly, ids, outcome};
+use rhubarb_core::{ids, outcome, reassembly};
 use rhubarb_node::clock;
 use rhubarb_wire::{chunk, message};
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Open {
     sink: channel::Sink,
-    assembly: assembly::Assembly,
+    assembly: reassembly::Reassembly,
     has_head: bool,
 }
 
@@ -222,7 +222,7 @@
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                     return true;
                 }
-                let assembly = assembly::Assembly::default();
+                let assembly = reassembly::Reassembly::default();
                 self.runs.insert(run, Open { sink, assembly, has_head: false });
                 wire.send(&order).await && self.keep_alive(wire).await
             }
@@ -287,7 +287,7 @@
     // After a gap the connection is opened again, and every run resumed at its offset.
     fn take_chunk(&mut self, chunk: chunk::Chunk) -> bool {
         let Some(open) = self.runs.get_mut(&chunk.run) else { return true };
-        match open.assembly.take(chunk.offset, &chunk.bytes) {
+        match open.assembly.accept(chunk.offset, &chunk.bytes) {
             Ok([]) => true,
             Ok(fresh) => {
                 let bytes = fresh.to_vec();
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_core::{assembly, gate, ids, limit, outcome, rooms, usage};
+use rhubarb_core::{gate, ids, limit, outcome, reassembly, rooms, usage};
 use rhubarb_wire::{chunk, frame, message, offer};
 
 use crate::meter;
@@ -62,7 +62,7 @@
         frame::decode::<message::Order>(&bytes[4..]).is_ok()
     });
     meter.time("take one token into an answer", 100_000, |_| {
-        assembly::Assembly::default().take(0, b"token").map(<[u8]>::len)
+        reassembly::Reassembly::default().accept(0, b"token").map(<[u8]>::len)
     });
 }
 
