--- /dev/null
+++ b/crates/core/tests/sse.rs
@@ -0,0 +1,58 @@
+//! Decoding of server-sent events from chunks of any size.
+
+mod random;
+
+use proptest::prelude::*;
+use rhubarb_core::sse;
+
+fn event_text(number: u64) -> String {
+    format!("id: {number}\ndata: token-{number}\n\n")
+}
+
+#[test]
+fn event_ids() {
+    let cases = [
+        ("id: 7\ndata: a\n\n", Some(7)),
+        ("data: a\nid:8\n\n", Some(8)),
+        ("id: 9\r\ndata: a\r\n\r\n", Some(9)),
+        ("id: x\ndata: a\n\n", None),
+        ("data: a\n\n", None),
+    ];
+    for (text, id) in cases {
+        let mut decoder = sse::Decoder::default();
+        decoder.push(text.as_bytes());
+        let event = decoder.next_event().unwrap();
+        assert_eq!((event.id, event.bytes.as_slice()), (id, text.as_bytes()));
+        assert!(!decoder.is_partial());
+    }
+}
+
+#[test]
+fn incomplete_event() {
+    let mut decoder = sse::Decoder::default();
+    decoder.push(b"id: 1\ndata: a\n\nid: 2\nda");
+    assert_eq!(decoder.next_event().unwrap().id, Some(1));
+    assert_eq!(decoder.next_event(), None);
+    assert!(decoder.is_partial());
+}
+
+proptest! {
+    #![proptest_config(random::config(256))]
+
+    #[test]
+    fn any_chunk_size(count in 1u64..20, size in 1usize..40) {
+        let text: String = (0..count).map(event_text).collect();
+        let mut decoder = sse::Decoder::default();
+        let mut decoded = Vec::new();
+        for chunk in text.as_bytes().chunks(size) {
+            decoder.push(chunk);
+            while let Some(event) = decoder.next_event() {
+                decoded.push((event.id, event.bytes));
+            }
+        }
+        let expected: Vec<_> =
+            (0..count).map(|number| (Some(number), event_text(number).into_bytes())).collect();
+        prop_assert_eq!(decoded, expected);
+        prop_assert!(!decoder.is_partial());
+    }
+}
--- a/crates/edge/src/reader.rs
+++ b/crates/edge/src/reader.rs
@@ -4,20 +4,20 @@
 use http_body_util::BodyExt;
 use hyper::body;
 
-use rhubarb_core::events;
+use rhubarb_core::sse;
 
 /// A stream being read.
 #[derive(Debug)]
 pub(crate) struct Reader {
     body: body::Incoming,
-    scanner: events::Scanner,
+    scanner: sse::Decoder,
 }
 
 /// What comes next on a stream.
 #[derive(Debug)]
 pub(crate) enum Piece {
     /// A whole event.
-    Event(events::Event),
+    Event(sse::Event),
     /// The stream ended behind a whole event.
     End,
     /// The stream broke off, or ended within an event.
@@ -26,7 +26,7 @@
 
 impl Reader {
     pub(crate) fn new(body: body::Incoming) -> Reader {
-        Reader { body, scanner: events::Scanner::default() }
+        Reader { body, scanner: sse::Decoder::default() }
     }
 
     /// Waits for the next piece; dropping the wait loses nothing.
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::Response;
 
-use rhubarb_core::{engine, engines, events, flow, ids, outcome, pool, routing};
+use rhubarb_core::{engine, engines, flow, ids, outcome, pool, routing, sse};
 use rhubarb_node::{answer, clock, reply};
 use rhubarb_platform::{answer as forms, request};
 
@@ -395,7 +395,7 @@
         &mut self,
         server: &ids::ServerName,
         head: &Response<()>,
-        event: events::Event,
+        event: sse::Event,
     ) -> Option<flow::Event> {
         if let (Some(id), Some(last)) = (event.id, self.last_event) {
             if id <= last {
