--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -76,25 +76,25 @@
     }
 
     pub(crate) fn waste(&mut self, caller: usize, reason: Reason, tokens: u32) {
-        self.totals(caller).waste(reason, u64::from(tokens));
+        self.totals(caller).count_waste(reason, u64::from(tokens));
         self.wasted += u64::from(tokens);
         *self.score.wasted_by.entry(reason.name()).or_default() += u64::from(tokens);
     }
 
     pub(crate) fn refuse(&mut self, caller: usize, refusal: outcome::Refusal) {
-        self.totals(caller).count(refusal.outcome, Some(refusal.reason));
+        self.totals(caller).count_outcome(refusal.outcome, Some(refusal.reason));
         *self.score.refused.entry(refusal.reason.name()).or_default() += 1;
     }
 
     pub(crate) fn answer(&mut self, request: &request::Request, fleet: &frame::Fleet) {
         self.answered += 1;
-        self.totals(request.caller).count(outcome::Outcome::Answered, None);
+        self.totals(request.caller).count_outcome(outcome::Outcome::Answered, None);
         let (Some(first), Some(last)) = (request.first_at, request.last_at) else { return };
         let first_time = first - request.arrived;
         let between = (last - first) / request.sent.saturating_sub(1).max(1);
         let is_good = first_time <= fleet.first_token && between <= fleet.between_tokens;
         let tokens = u64::from(request.sent);
-        self.totals(request.caller).answer(first_time, between, tokens, is_good);
+        self.totals(request.caller).count_answer(first_time, between, tokens, is_good);
         self.good[request.caller] += u64::from(is_good);
     }
 
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -1,4 +1,4 @@
-//! Usage records: what each caller got from each service.
+//! Usage records: totals of each caller at each service.
 
 use std::{collections, time};
 
@@ -6,23 +6,24 @@
 
 use crate::{ids, outcome};
 
-/// Totals of one entry over one interval; written once and never changed.
+/// Totals of one entry over one interval; immutable once the interval is closed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Name of the entry instance.
     pub entry: String,
     /// Incarnation of the entry process.
     pub incarnation: ids::Incarnation,
-    /// Number of the record, from 0, without gaps.
+    /// Sequence number of the record, from 0, without gaps.
     pub seq: u64,
-    /// Start of the interval in milliseconds since 1970.
+    /// Start of the interval, in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// End of the interval in milliseconds since 1970.
+    /// End of the interval, in milliseconds since the Unix epoch.
     pub to_ms: u64,
-    /// Longest time until the entry writes again, in milliseconds; 0 for twice the interval.
+    /// Maximum time until the next write of the entry, in milliseconds; 0 stands for twice the
+    /// interval.
     #[serde(default)]
     pub due_ms: u64,
-    /// Whether the entry stopped in order after this record.
+    /// Whether the entry shut down gracefully after this record.
     pub last: bool,
     /// Totals by service and caller.
     pub rows: Vec<Row>,
@@ -35,18 +36,18 @@
     pub service: ids::ServiceName,
     /// Caller name.
     pub caller: ids::CallerName,
-    /// What was counted.
+    /// Counters of the interval.
     pub totals: Totals,
 }
 
-/// Counters that add up across records.
+/// Counters that can be summed over records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     /// Requests by the name of their outcome.
     pub outcomes: collections::BTreeMap<String, u64>,
-    /// Refusals and failures by reason.
+    /// Refusals and failures by the name of their reason.
     pub refusals: collections::BTreeMap<String, u64>,
-    /// Retries by reason.
+    /// Retries by the name of their reason.
     pub retries: collections::BTreeMap<String, u64>,
     /// Requests that met all targets.
     pub good: u64,
@@ -56,39 +57,40 @@
     pub output_tokens: u64,
     /// Prompt tokens prefilled.
     pub prefill_tokens: u64,
-    /// Prompt tokens prefilled for nothing, by reason.
+    /// Wasted prefill in prompt tokens, by the name of the reason.
     pub wasted_tokens: collections::BTreeMap<String, u64>,
-    /// Times to the first token, or to the whole plain answer.
+    /// Times to the first token, or to the complete answer of a plain service.
     pub first: Histogram,
-    /// Mean times between tokens.
+    /// Mean time between tokens of each answer.
     pub between: Histogram,
 }
 
-/// Histogram with buckets a tenth of a binary order apart.
+/// Histogram of durations with ten logarithmic buckets for each doubling.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Histogram {
     buckets: collections::BTreeMap<u32, u64>,
 }
 
-const STEPS: f64 = 10.0;
+const BUCKETS_PER_DOUBLING: f64 = 10.0;
 
 impl Histogram {
     /// Adds one sample.
     pub fn add(&mut self, sample: time::Duration) {
         let micros = sample.as_micros().max(1) as f64;
-        let bucket = (micros.log2() * STEPS).ceil() as u32;
+        let bucket = (micros.log2() * BUCKETS_PER_DOUBLING).ceil() as u32;
         *self.buckets.entry(bucket).or_default() += 1;
     }
 
-    /// Upper bound of the bucket that holds the given quantile; `None` without samples.
-    pub fn quantile(&self, part: f64) -> Option<time::Duration> {
+    /// Upper bound of the bucket that contains the quantile, given from 0 to 1; `None` without
+    /// samples.
+    pub fn quantile(&self, quantile: f64) -> Option<time::Duration> {
         let count: u64 = self.buckets.values().sum();
-        let rank = ((count as f64 * part).ceil() as u64).max(1);
-        let mut seen = 0;
+        let rank = ((count as f64 * quantile).ceil() as u64).max(1);
+        let mut cumulative = 0;
         self.buckets.iter().find_map(|(bucket, samples)| {
-            seen += samples;
-            let micros = (f64::from(*bucket) / STEPS).exp2();
-            (seen >= rank).then(|| time::Duration::from_micros(micros as u64))
+            cumulative += samples;
+            let micros = (f64::from(*bucket) / BUCKETS_PER_DOUBLING).exp2();
+            (cumulative >= rank).then(|| time::Duration::from_micros(micros as u64))
         })
     }
 
@@ -108,16 +110,16 @@
 }
 
 impl Totals {
-    /// Counts an outcome, with its reason where the request was refused or failed.
-    pub fn count(&mut self, outcome: outcome::Outcome, reason: Option<outcome::Reason>) {
+    /// Counts the outcome of a request, and the reason if it was refused or failed.
+    pub fn count_outcome(&mut self, outcome: outcome::Outcome, reason: Option<outcome::Reason>) {
         *self.outcomes.entry(outcome.name().to_string()).or_default() += 1;
         if let Some(reason) = reason {
             *self.refusals.entry(reason.name().to_string()).or_default() += 1;
         }
     }
 
-    /// Counts the tokens and times of a whole answer; `good` if it met all targets.
-    pub fn answer(
+    /// Counts the tokens and times of a complete answer; `good` if it met all targets.
+    pub fn count_answer(
         &mut self,
         first: time::Duration,
         between: time::Duration,
@@ -134,12 +136,12 @@
     }
 
     /// Counts a retry.
-    pub fn retry(&mut self, reason: outcome::Reason) {
+    pub fn count_retry(&mut self, reason: outcome::Reason) {
         *self.retries.entry(reason.name().to_string()).or_default() += 1;
     }
 
-    /// Counts prompt tokens prefilled for nothing.
-    pub fn waste(&mut self, reason: outcome::Reason, tokens: u64) {
+    /// Counts prompt tokens of a wasted prefill.
+    pub fn count_waste(&mut self, reason: outcome::Reason, tokens: u64) {
         *self.wasted_tokens.entry(reason.name().to_string()).or_default() += tokens;
     }
 
@@ -169,13 +171,16 @@
     pending: collections::VecDeque<Record>,
 }
 
-/// Records kept while the object store is away; beyond that the newest two become one.
+/// Maximum number of records kept while the object store is unavailable; beyond it the newest two
+/// are merged.
 const MAX_PENDING: usize = 240;
-/// Rows of all records kept, of about 1.2 KB each; one record for each caller remains.
+/// Maximum number of rows in all records kept, of about 1.2 KB each; beyond it records are merged,
+/// which leaves a row for each caller.
 const MAX_PENDING_ROWS: usize = 20_000;
 
 impl Ledger {
-    /// Starts a ledger at `now_ms` milliseconds since 1970.
+    /// Creates a ledger whose first interval starts at `now_ms`, in milliseconds since the Unix
+    /// epoch.
     pub fn new(entry: String, incarnation: ids::Incarnation, now_ms: u64) -> Ledger {
         Ledger {
             entry,
@@ -187,13 +192,13 @@
         }
     }
 
-    /// Totals of `caller` at `service`.
+    /// Totals of `caller` at `service` in the current interval.
     pub fn totals(&mut self, service: &str, caller: &str) -> &mut Totals {
         self.rows.entry((service.to_string(), caller.to_string())).or_default()
     }
 
-    /// Record of the current interval so far; the next one under its number replaces it within
-    /// `due_ms` milliseconds.
+    /// Record of the current interval so far; a record with the same sequence number replaces it
+    /// within `due_ms` milliseconds.
     pub fn open_record(&self, now_ms: u64, due_ms: u64) -> Record {
         let rows = self.rows.iter().map(|((service, caller), totals)| Row {
             service: service.clone(),
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Closes the current interval; an interval without requests leaves a record too, so that a
-    /// missing record is a gap and not silence.
+    /// Closes the current interval; one without requests produces a record too, so that a missing
+    /// record always indicates lost data.
     pub fn close(&mut self, now_ms: u64, last: bool) {
         let rows = std::mem::take(&mut self.rows);
         let rows =
@@ -231,41 +236,41 @@
         self.seq += 1;
         self.from_ms = now_ms;
         self.pending.push_back(record);
-        self.shrink();
+        self.limit_pending();
     }
 
-    // The newest two records become one, which keeps every total and loses only resolution.
-    // The front record may be on its way to the store, so it is never touched.
-    fn shrink(&mut self) {
+    // Merges the newest two records if too much is pending, which keeps all totals and loses only
+    // resolution. The front record is never changed, since a write of it may be in progress.
+    fn limit_pending(&mut self) {
         let rows: usize = self.pending.iter().map(|record| record.rows.len()).sum();
-        let is_small = self.pending.len() <= MAX_PENDING && rows <= MAX_PENDING_ROWS;
-        if is_small || self.pending.len() <= 2 {
+        let is_within = self.pending.len() <= MAX_PENDING && rows <= MAX_PENDING_ROWS;
+        if is_within || self.pending.len() <= 2 {
             return;
         }
-        let (Some(newest), Some(before)) = (self.pending.pop_back(), self.pending.back_mut())
+        let (Some(newest), Some(previous)) = (self.pending.pop_back(), self.pending.back_mut())
         else {
             return;
         };
-        before.to_ms = newest.to_ms;
-        before.last = newest.last;
+        previous.to_ms = newest.to_ms;
+        previous.last = newest.last;
         for row in newest.rows {
             let same =
                 |other: &&mut Row| other.service == row.service && other.caller == row.caller;
-            match before.rows.iter_mut().find(same) {
+            match previous.rows.iter_mut().find(same) {
                 Some(other) => other.totals.merge(&row.totals),
-                None => before.rows.push(row),
+                None => previous.rows.push(row),
             }
         }
         self.seq -= 1;
     }
 
-    /// Oldest record not yet stored.
+    /// Oldest record that is not yet stored.
     pub fn next_record(&self) -> Option<&Record> {
         self.pending.front()
     }
 
-    /// Notes that record `seq` is stored.
-    pub fn stored(&mut self, seq: u64) {
+    /// Removes record `seq`, which is stored.
+    pub fn remove_stored(&mut self, seq: u64) {
         self.pending.retain(|record| record.seq != seq);
     }
 }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -69,7 +69,7 @@
         let taken = self.edge.directory().take_repeats(&self.service, sends, clock::now());
         if taken {
             self.edge.counters.requests.retried.get_or_create(&metrics::labels(reason)).inc();
-            self.account().add(|totals| totals.retry(reason));
+            self.account().add(|totals| totals.count_retry(reason));
         }
         tracing::info!(
             id = self.id(),
--- a/crates/edge/src/ledger.rs
+++ b/crates/edge/src/ledger.rs
@@ -87,7 +87,7 @@
         if !store(edge, &record).await {
             return false;
         }
-        edge.ledger().stored(record.seq);
+        edge.ledger().remove_stored(record.seq);
     }
 }
 
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -200,7 +200,7 @@
         let took = clock::now() - call.arrived;
         call.edge.counters.plain_time.observe(took.as_secs_f64());
         call.account().add(|totals| {
-            totals.count(Outcome::Answered, None);
+            totals.count_outcome(Outcome::Answered, None);
             totals.first.add(took);
             let is_good = whole.head.status().is_success() && took <= call.route.target;
             totals.good += u64::from(is_good);
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -51,7 +51,7 @@
         }
         let reason = metrics::labels(Reason::Withdrawn);
         self.edge.counters.requests.wasted.get_or_create(&reason).inc_by(u64::from(self.tokens));
-        self.account.add(|totals| totals.waste(Reason::Withdrawn, u64::from(self.tokens)));
+        self.account.add(|totals| totals.count_waste(Reason::Withdrawn, u64::from(self.tokens)));
         let (edge, address) = (self.edge.clone(), self.target.address);
         let request = engine::free_handle(&self.handle);
         tokio::spawn(async move { cleanup::send(&edge, address, request).await });
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -31,7 +31,7 @@
 
 /// Counts and logs that a request is given up.
 pub(crate) fn note(call: &call::Call, refusal: Refusal) {
-    call.account().add(|totals| totals.count(refusal.outcome, Some(refusal.reason)));
+    call.account().add(|totals| totals.count_outcome(refusal.outcome, Some(refusal.reason)));
     call.edge.counters.requests.refused.get_or_create(&metrics::labels(refusal.reason)).inc();
     let retry_ms = refusal.retry.map(|retry| retry.as_millis() as u64);
     tracing::info!(
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -460,13 +460,13 @@
             directory.service(&call.service).engines.learn_answer(tokens, took);
         }
         call.account().add(|totals| {
-            totals.count(Outcome::Answered, None);
+            totals.count_outcome(Outcome::Answered, None);
             let Some((first, last)) = times else { return };
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
             let between = (last - first).div_f64(gaps);
             let first = first - call.arrived;
             let is_smooth = call.route.pause.is_none_or(|most| self.longest_pause <= most);
-            totals.answer(first, between, tokens, is_smooth && first <= call.route.target);
+            totals.count_answer(first, between, tokens, is_smooth && first <= call.route.target);
         });
     }
 
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -154,6 +154,6 @@
             }
         }
         let mut ledger = self.entry.ledger();
-        ledger.totals(&self.service.name, &self.caller).count(outcome, reason);
+        ledger.totals(&self.service.name, &self.caller).count_outcome(outcome, reason);
     }
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -357,7 +357,7 @@
         let tokens = u64::from(self.sent);
         let mut ledger = self.ticket.entry.ledger();
         let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
-        totals.answer(first_time, between, tokens, is_good);
+        totals.count_answer(first_time, between, tokens, is_good);
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -94,7 +94,7 @@
         let taken = self.directory.view().budget(service).try_withdraw(reason);
         if taken {
             self.metrics.requests.retried.get_or_create(&metrics::labels(reason)).inc();
-            self.ledger().totals(service, caller).retry(reason);
+            self.ledger().totals(service, caller).count_retry(reason);
         }
         taken
     }
@@ -108,7 +108,7 @@
         tokens: u64,
     ) {
         self.metrics.requests.wasted.get_or_create(&metrics::labels(reason)).inc_by(tokens);
-        self.ledger().totals(service, caller).waste(reason, tokens);
+        self.ledger().totals(service, caller).count_waste(reason, tokens);
     }
 
     /// Starts to leave: the balancer is told first, then new requests are refused.
--- a/crates/entry/src/ledger.rs
+++ b/crates/entry/src/ledger.rs
@@ -34,7 +34,7 @@
         let stored = entry.objects.put(&name(&record), content).await;
         entry.metrics.pending.set(if stored.is_ok() { 0 } else { 1 });
         match stored {
-            Ok(()) => entry.ledger().stored(record.seq),
+            Ok(()) => entry.ledger().remove_stored(record.seq),
             Err(err) => {
                 tracing::warn!("entry: usage record {} not stored: {err}", record.seq);
                 return false;
--- a/crates/report/tests/merging.rs
+++ b/crates/report/tests/merging.rs
@@ -12,13 +12,13 @@
     let mut ledger = usage::Ledger::new(entry.into(), 7, 0);
     for minute in 1..=count {
         let totals = ledger.totals("board", "south");
-        totals.count(outcome::Outcome::Answered, None);
+        totals.count_outcome(outcome::Outcome::Answered, None);
         totals.first.add(time::Duration::from_millis(minute));
         ledger.close(minute * 60_000, minute == count);
     }
     let mut records = Vec::new();
     while let Some(record) = ledger.next_record().cloned() {
-        ledger.stored(record.seq);
+        ledger.remove_stored(record.seq);
         records.push(record);
     }
     records
@@ -81,13 +81,13 @@
 fn long_outage() {
     let mut ledger = usage::Ledger::new("entry-1".into(), 7, 0);
     for minute in 1..=2000 {
-        ledger.totals("board", "south").count(outcome::Outcome::Answered, None);
+        ledger.totals("board", "south").count_outcome(outcome::Outcome::Answered, None);
         ledger.close(minute * 60_000, minute == 2000);
     }
     let mut report = merge::Report::new(0, u64::MAX);
     let mut kept = 0;
     while let Some(record) = ledger.next_record().cloned() {
-        ledger.stored(record.seq);
+        ledger.remove_stored(record.seq);
         report.add(record);
         kept += 1;
     }
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -152,7 +152,7 @@
 
 fn count_request(ledger: &mut usage::Ledger, number: u32) {
     let totals = ledger.totals("clip-models", &format!("caller-{number}"));
-    totals.count(outcome::Outcome::Answered, None);
+    totals.count_outcome(outcome::Outcome::Answered, None);
     totals.first.add(time::Duration::from_millis(u64::from(number % 400) + 1));
     totals.between.add(time::Duration::from_millis(u64::from(number % 70) + 1));
     totals.output_tokens += 200;
