--- a/crates/core/tests/lost.rs
+++ b/crates/core/tests/datagram_loss.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries that are lost, delayed or doubled.
+//! Datagrams between entries that are lost, reordered or duplicated.
 
 use std::{collections, time};
 
@@ -12,7 +12,7 @@
 const NEED: engine::Need = engine::Need { prompt: 2_000, output: 1_000 };
 const PEER: &str = "edge-1";
 
-type Given = collections::BTreeMap<ids::ServerName, engine::Commitment>;
+type Commitments = collections::BTreeMap<ids::ServerName, engine::Commitment>;
 
 fn engines() -> engines::Engines {
     let mut engines = engines::Engines::default();
@@ -31,49 +31,49 @@
     engines
 }
 
-// What the peer does next, and what becomes of the datagram that tells it.
+// Next action of the peer, and how the datagram that reports it is delivered.
 #[derive(Clone, Copy, Debug)]
 struct Step {
-    pause: u32,
+    pause_ms: u32,
     reserves: bool,
     is_lost: bool,
-    is_doubled: bool,
-    // Datagrams sent later that overtake this one.
-    overtaken: usize,
+    is_duplicated: bool,
+    // Number of steps until delivery, so that later datagrams may arrive first.
+    delay: usize,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let parts = (0u32..600, any::<bool>(), 0u8..3, any::<bool>(), 0usize..3);
-    parts.prop_map(|(pause, reserves, fate, is_doubled, overtaken)| Step {
-        pause,
+    parts.prop_map(|(pause_ms, reserves, loss, is_duplicated, delay)| Step {
+        pause_ms,
         reserves,
-        is_lost: fate == 0,
-        is_doubled,
-        overtaken,
+        is_lost: loss == 0,
+        is_duplicated,
+        delay,
     })
 }
 
-fn tokens(given: &Given) -> u64 {
-    given.values().map(|commitment| u64::from(commitment.tokens)).sum()
+fn tokens(commitments: &Commitments) -> u64 {
+    commitments.values().map(|commitment| u64::from(commitment.tokens)).sum()
 }
 
 proptest! {
     #![proptest_config(random::config(512))]
 
-    // Whatever is lost, what an entry believes of a peer is what the newest datagram that came
-    // through told, and nothing once none came for a while.
+    // The estimate of a peer's commitments is the report with the highest sequence number among
+    // those received, and zero after the peer timeout.
     #[test]
-    fn newest_counts(steps in proptest::collection::vec(step(), 1..80)) {
+    fn newest_report(steps in proptest::collection::vec(step(), 1..80)) {
         let ip = [10, 0, 0, 7].into();
         let (mut peer, mut own) = (engines(), engines());
         let mut members = members::Members::default();
         let mut runs = Vec::new();
-        let mut way: Vec<(usize, u64, Given)> = Vec::new();
-        let mut newest: Option<(u64, Given, time::Instant)> = None;
+        let mut in_flight: Vec<(usize, u64, Commitments)> = Vec::new();
+        let mut newest: Option<(u64, Commitments, time::Instant)> = None;
         let start = time::Instant::now();
         let mut now = start;
         for (seq, step) in (1u64..).zip(steps) {
-            now += step.pause * MILLI;
+            now += step.pause_ms * MILLI;
             if step.reserves {
                 let place =
                     engines::Place { late: false, arrived: now, run: ids::RunId::from(seq) };
@@ -83,24 +83,28 @@
                 peer.release(&id, run, now);
             }
             if !step.is_lost {
-                let copies = if step.is_doubled { 2 } else { 1 };
-                let datagram = (step.overtaken, seq, peer.own(now));
-                way.extend(std::iter::repeat_n(datagram, copies));
+                let copies = if step.is_duplicated { 2 } else { 1 };
+                let datagram = (step.delay, seq, peer.own(now));
+                in_flight.extend(std::iter::repeat_n(datagram, copies));
             }
-            let (here, later) = way.into_iter().partition::<Vec<_>, _>(|(wait, ..)| *wait == 0);
-            way = later.into_iter().map(|(wait, seq, given)| (wait - 1, seq, given)).collect();
-            for (_, seq, given) in here {
+            let (due, delayed) =
+                in_flight.into_iter().partition::<Vec<_>, _>(|(delay, ..)| *delay == 0);
+            in_flight = delayed
+                .into_iter()
+                .map(|(delay, seq, commitments)| (delay - 1, seq, commitments))
+                .collect();
+            for (_, seq, commitments) in due {
                 if members.hear(ip, 1, seq, now) {
-                    own.hear(PEER, &given, now);
+                    own.hear(PEER, &commitments, now);
                     prop_assert!(newest.as_ref().is_none_or(|(old, ..)| *old < seq));
-                    newest = Some((seq, given, now));
+                    newest = Some((seq, commitments, now));
                 }
             }
             let is_fresh = |at: time::Instant| now <= at + engine::PEER_SILENCE;
-            let told = newest.as_ref().filter(|(.., at)| is_fresh(*at));
-            let expected = told.map_or(0, |(_, given, _)| tokens(given));
-            let room = 2 * (40_000.0 * 0.95) as u64;
-            prop_assert_eq!(u64::from(own.fill(now)), expected * 1000 / room);
+            let report = newest.as_ref().filter(|(.., at)| is_fresh(*at));
+            let expected = report.map_or(0, |(_, commitments, _)| tokens(commitments));
+            let capacity = 2 * (40_000.0 * 0.95) as u64;
+            prop_assert_eq!(u64::from(own.fill(now)), expected * 1000 / capacity);
         }
     }
 }
