--- a/crates/core/src/retry_detector.rs
+++ b/crates/core/src/retry_detector.rs
@@ -11,7 +11,7 @@
 /// A remaining timeout below this part of the maximum indicates a retry: on the users' bench
 /// first requests had 12 to 14 s left, and retries 6 to 11.5 s.
 const FIRST_REQUEST_SHARE: f64 = 0.85;
-/// Part of the maximum that decays with each request.
+/// Relative decay of the maximum with each request.
 const DECAY: f64 = 0.001;
 
 impl RetryDetector {
