--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use rhubarb_core::{budget, fair, ids, pace, pool, slots};
+use rhubarb_core::{budget, fair_share, ids, pool, prefill_time, slots};
 
 use crate::{engine, event, policy};
 
@@ -18,7 +18,7 @@
     pub(crate) zone: usize,
     pub(crate) rooms: slots::Slots,
     pub(crate) engine: engine::Engine,
-    pub(crate) pace: pace::Pace,
+    pub(crate) pace: prefill_time::PrefillTime,
     pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
     // Prefill results or reservations by run.
     pub(crate) done_at: collections::BTreeMap<ids::RunId, time::Instant>,
@@ -31,8 +31,8 @@
 pub(crate) struct Entry {
     pub(crate) prefills: pool::Pool,
     pub(crate) decodes: pool::Pool,
-    pub(crate) budget: budget::Budget,
-    pub(crate) fair: fair::Fair,
+    pub(crate) budget: budget::RetryBudget,
+    pub(crate) fair: fair_share::FairShare,
     pub(crate) turn: usize,
 }
 
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -2,7 +2,9 @@
 
 use std::{cmp, collections, time};
 
-use rhubarb_core::{budget, fair, flow, ids, load, outcome, pace, pool, slots, usage};
+use rhubarb_core::{
+    budget, fair_share, flow, ids, load, outcome, pool, prefill_time, slots, usage,
+};
 
 use crate::{engine, event, frame, policy, random, request, score, server};
 
@@ -75,7 +77,7 @@
                 zone: number % frame::ZONES,
                 rooms: slots::Slots::new(rooms, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
-                pace: pace::Pace::default(),
+                pace: prefill_time::PrefillTime::default(),
                 waiting: collections::BTreeMap::new(),
                 done_at: collections::BTreeMap::new(),
                 dead: false,
@@ -86,8 +88,8 @@
         let entries = (0..frame::ZONES).map(|zone| Entry {
             prefills: make_pool(zone, &servers[..fleet.prefills], policy),
             decodes: make_pool(zone, &servers[fleet.prefills..], policy),
-            budget: budget::Budget::default(),
-            fair: fair::Fair::default(),
+            budget: budget::RetryBudget::default(),
+            fair: fair_share::FairShare::default(),
             turn: zone,
         });
         World {
@@ -270,7 +272,7 @@
             }
         };
         let work = if is_prefill {
-            pace::Pace::default().estimate(request.prompt)
+            prefill_time::PrefillTime::default().estimate(request.prompt)
         } else {
             time::Duration::ZERO
         };
@@ -323,7 +325,7 @@
         };
         let is_left = request.flow.may_retry(server.as_ref(), &refusal, self.now);
         let entry = request.entry;
-        let retry = is_left && self.entries[entry].budget.take(reason);
+        let retry = is_left && self.entries[entry].budget.try_withdraw(reason);
         self.requests[tag.request].refusal = Some(refusal);
         self.note_end(tag.request, at_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
@@ -415,7 +417,7 @@
         let request = &self.requests[tag.request];
         let wait_by =
             (request.arrived + self.run.fleet.deadline).min(self.now + self.run.fleet.max_wait);
-        let is_excess = request.share == fair::Share::Excess;
+        let is_excess = request.share == fair_share::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
         let answer = if is_excess {
             rooms.request_spare(tag.run(), time::Duration::ZERO, self.now)
@@ -443,13 +445,13 @@
         let start_by = if self.policy.due {
             let fleet = &self.run.fleet;
             let first_token = request.arrived + fleet.first_token;
-            let due = pace::Due { first_token, max_wait: fleet.max_wait };
-            due.start_by(work, self.now)
+            let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
+            due.latest_start(work, self.now)
         } else {
             request.arrived + self.run.fleet.deadline
         };
         let work = if self.policy.work { work } else { time::Duration::ZERO };
-        let answer = if request.share == fair::Share::Excess {
+        let answer = if request.share == fair_share::Share::Excess {
             state.rooms.request_spare(tag.run(), work, self.now)
         } else {
             state.rooms.request_work(tag.run(), work, start_by, self.now)
@@ -473,7 +475,7 @@
         request.unused = request.prompt;
         request.source = server;
         let (work, done) = server_ref.engine.prefill(request, self.now);
-        server_ref.pace.learn(request.prompt, work);
+        server_ref.pace.record(request.prompt, work);
         self.push_at(done, Event::PrefillEnds { tag, server });
     }
 
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{ids, load, outcome, record};
+use crate::{ids, load, outcome, outlier};
 
 use outcome::Reason;
 
@@ -30,7 +30,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Failures among its own answers to requests.
-    pub record: record::Record,
+    pub record: outlier::FailureRate,
 }
 
 /// Parameters of the health checks.
@@ -132,7 +132,7 @@
             ejections: 0,
             ejected_until: None,
             leaving: false,
-            record: record::Record::default(),
+            record: outlier::FailureRate::default(),
         };
         self.servers.entry(name.to_string()).or_insert_with(new).zone = zone.to_string();
     }
@@ -239,10 +239,10 @@
     /// of the others are ejected already.
     pub fn record_answer(&mut self, name: &str, has_failed: bool, now: time::Instant) {
         let Some(server) = self.servers.get_mut(name) else { return };
-        server.record.note(has_failed);
+        server.record.record(has_failed);
         let others: Vec<_> = self.servers.iter().filter(|(other, _)| *other != name).collect();
         let records = others.iter().map(|(_, server)| &server.record);
-        let median = record::median(records);
+        let median = outlier::median(records);
         let is_ejected = |server: &Server| server.ejected_until.is_some_and(|until| now < until);
         let ejected = others.iter().filter(|(_, server)| is_ejected(server)).count();
         let backoff = self.tuning.backoff;
@@ -252,7 +252,7 @@
         if let (Some(server), Some(median)) = (self.servers.get_mut(name), median)
             && server.record.is_outlier(median)
         {
-            server.record = record::Record::default();
+            server.record = outlier::FailureRate::default();
             server.eject(FAILURE_EJECTION, backoff, now);
         }
     }
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -2,7 +2,9 @@
 
 use std::{collections, net, sync, time};
 
-use rhubarb_core::{engines, fleet, ids, load, outcome, pool, queueing, repeat, returns, routing};
+use rhubarb_core::{
+    engines, fleet, ids, load, outcome, pool, queue_limit, retry, retry_detector, routing,
+};
 use rhubarb_wire::share;
 
 use crate::{ahead, rows};
@@ -12,9 +14,9 @@
 pub(crate) struct Service {
     pub(crate) pool: pool::Pool,
     pub(crate) engines: engines::Engines,
-    pub(crate) repeats: repeat::Repeats,
-    queueing: queueing::Queueing,
-    returns: collections::BTreeMap<routing::RouteName, returns::Returns>,
+    pub(crate) repeats: retry::SharedBudget,
+    queueing: queue_limit::QueueLimit,
+    returns: collections::BTreeMap<routing::RouteName, retry_detector::RetryDetector>,
 }
 
 /// Server for a plain request.
@@ -39,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: ids::ZoneName,
-    allowance: repeat::Allowance,
+    allowance: retry::BudgetLimits,
     config: Option<sync::Arc<routing::Config>>,
     /// What the store said, as it said it.
     pub(crate) rows: rows::Rows,
@@ -72,7 +74,7 @@
 const ASSUMED_ENTRIES: u32 = 8;
 
 impl Directory {
-    pub(crate) fn new(zone: &str, allowance: repeat::Allowance) -> Directory {
+    pub(crate) fn new(zone: &str, allowance: retry::BudgetLimits) -> Directory {
         Directory {
             zone: zone.to_string(),
             allowance,
@@ -183,8 +185,8 @@
         let fresh = || Service {
             pool: new_pool(zone),
             engines: engines::Engines::default(),
-            repeats: repeat::Repeats::new(allowance),
-            queueing: queueing::Queueing::default(),
+            repeats: retry::SharedBudget::new(allowance),
+            queueing: queue_limit::QueueLimit::default(),
             returns: collections::BTreeMap::new(),
         };
         self.services.entry(name.to_string()).or_insert_with(fresh)
@@ -254,12 +256,12 @@
     /// Notes a request, and whether its caller, who waits for `left`, has asked before.
     pub(crate) fn note_asked(&mut self, service: &str, route: &str, left: time::Duration) -> bool {
         let returns = &mut self.service(service).returns;
-        returns.entry(route.to_string()).or_default().note(left)
+        returns.entry(route.to_string()).or_default().record(left)
     }
 
     /// Learns how long a plain service works on a request.
     pub(crate) fn learn(&mut self, service: &str, took: time::Duration, load: load::Load) {
-        self.service(service).queueing.learn(took, load);
+        self.service(service).queueing.record(took, load);
     }
 
     /// Takes the load that a server told with an answer.
@@ -270,10 +272,10 @@
     }
 
     /// Changes the bounds on repeated sends.
-    pub(crate) fn set_allowance(&mut self, allowance: repeat::Allowance) {
+    pub(crate) fn set_allowance(&mut self, allowance: retry::BudgetLimits) {
         self.allowance = allowance;
         for service in self.services.values_mut() {
-            service.repeats.set_allowance(allowance);
+            service.repeats.set_limits(allowance);
         }
     }
 
@@ -285,6 +287,6 @@
     /// Takes `sends` repeats from the service's budget.
     pub(crate) fn take_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
         let entries = self.entries;
-        self.service(service).repeats.take(sends, entries, now)
+        self.service(service).repeats.try_withdraw(sends, entries, now)
     }
 }
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -31,7 +31,7 @@
 
 /// Counts and logs that a request is given up.
 pub(crate) fn note(call: &call::Call, refusal: Refusal) {
-    call.account().add(|totals| totals.count(refusal.outcome, Some(refusal.reason)));
+    call.account().add(|totals| totals.count_outcome(refusal.outcome, Some(refusal.reason)));
     call.edge
         .counters
         .requests
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::Response;
 
-use rhubarb_core::{engine, engines, events, flow, ids, outcome, pool, routing};
+use rhubarb_core::{engine, engines, flow, ids, outcome, pool, routing, sse};
 use rhubarb_node::{clock, responder, response};
 use rhubarb_platform::{request, response as forms};
 
@@ -397,7 +397,7 @@
         &mut self,
         server: &ids::ServerName,
         head: &Response<()>,
-        event: events::Event,
+        event: sse::Event,
     ) -> Option<flow::Event> {
         if let (Some(id), Some(last)) = (event.id, self.last_event) {
             if id <= last {
@@ -462,13 +462,13 @@
             directory.service(&call.service).engines.record_answer(tokens, took);
         }
         call.account().add(|totals| {
-            totals.count(Outcome::Answered, None);
+            totals.count_outcome(Outcome::Answered, None);
             let Some((first, last)) = times else { return };
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
             let between = (last - first).div_f64(gaps);
             let first = first - call.arrived;
             let is_smooth = call.route.max_gap.is_none_or(|most| self.longest_pause <= most);
-            totals.answer(first, between, tokens, is_smooth && first <= call.route.target);
+            totals.count_answer(first, between, tokens, is_smooth && first <= call.route.target);
         });
     }
 
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -4,7 +4,7 @@
 
 use hyper::{HeaderMap, header};
 
-use rhubarb_core::{fair, ids, limit, list, outcome};
+use rhubarb_core::{fair_share, ids, limit, list, outcome};
 use rhubarb_node::clock;
 
 use crate::{entry, refuse};
@@ -53,9 +53,9 @@
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .ok_or(Refusal::never(Reason::UnknownCaller))?;
+        .ok_or(Refusal::permanent(Reason::UnknownCaller))?;
     let caller = view.caller(&ids::key_digest(key.trim()));
-    caller.cloned().ok_or(Refusal::never(Reason::UnknownCaller))
+    caller.cloned().ok_or(Refusal::permanent(Reason::UnknownCaller))
 }
 
 /// Admits a request of `caller` to `service`.
@@ -66,9 +66,9 @@
     headers: &HeaderMap,
 ) -> Result<Ticket, Refusal> {
     let found = entry.directory.view().list().services.get(service).cloned();
-    let service = found.ok_or(Refusal::never(Reason::NoService))?;
+    let service = found.ok_or(Refusal::permanent(Reason::NoService))?;
     if !caller.may_use(&service.name) {
-        return Err(Refusal::never(Reason::Forbidden));
+        return Err(Refusal::permanent(Reason::Forbidden));
     }
     let key = read_key(headers, &service.name, &caller.name)?;
     let keyed = key.is_some();
@@ -83,7 +83,7 @@
     let excess = {
         let mut view = entry.directory.view();
         view.budget(&service.name).deposit();
-        view.fair(&service.name).admit(&caller.name, arrived) == fair::Share::Excess
+        view.fair(&service.name).admit(&caller.name, arrived) == fair_share::Share::Excess
     };
     Ok(Ticket {
         entry: entry.clone(),
@@ -104,14 +104,14 @@
 ) -> Result<(), Refusal> {
     let entries = entry.directory.view().entries();
     let mut limits = entry.limits();
-    let fresh = || limit::Limit::new(caller.rate, entries, now);
+    let fresh = || limit::CallerLimiter::new(caller.rate, entries, now);
     let limit = limits.entry(caller.name.clone()).or_insert_with(fresh);
     limit.admit(caller.rate, caller.concurrent, entries, now)
 }
 
 fn read_key(headers: &HeaderMap, service: &str, caller: &str) -> Result<Option<Key>, Refusal> {
     let Some(value) = headers.get(KEY) else { return Ok(None) };
-    let bad = Refusal::never(Reason::BadRequest);
+    let bad = Refusal::permanent(Reason::BadRequest);
     let text = value.to_str().map_err(|_| bad)?.to_string();
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(bad);
@@ -123,7 +123,7 @@
 fn read_deadline(headers: &HeaderMap, longest: time::Duration) -> Result<time::Duration, Refusal> {
     let Some(value) = headers.get(DEADLINE) else { return Ok(longest) };
     let millis = value.to_str().ok().and_then(|value| value.parse().ok());
-    let millis = millis.ok_or(Refusal::never(Reason::BadRequest))?;
+    let millis = millis.ok_or(Refusal::permanent(Reason::BadRequest))?;
     Ok(longest.min(time::Duration::from_millis(millis)))
 }
 
@@ -154,6 +154,6 @@
             }
         }
         let mut ledger = self.entry.ledger();
-        ledger.totals(&self.service.name, &self.caller).count(outcome, reason);
+        ledger.totals(&self.service.name, &self.caller).count_outcome(outcome, reason);
     }
 }
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -70,7 +70,7 @@
         request: openai::Request,
         teller: teller::Teller,
     ) -> Completion {
-        let rules = flow::Rules::model(ticket.key.is_some(), ticket.deadline);
+        let rules = flow::RetryPolicy::model(ticket.key.is_some(), ticket.deadline);
         let flow = flow::Flow::new(flow::Path::Staged, rules);
         Completion {
             ticket,
@@ -237,7 +237,7 @@
         self.prompt_tokens = tokens;
         let work = time::Duration::from_micros(prefilled.work_us);
         let size = self.request.prompt.len() as u32;
-        self.ticket.entry.directory.view().pace(&self.ticket.service.name).learn(size, work);
+        self.ticket.entry.directory.view().pace(&self.ticket.service.name).record(size, work);
         let mut ledger = self.ticket.entry.ledger();
         let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
         totals.prefill_tokens += tokens;
@@ -360,7 +360,7 @@
         let tokens = u64::from(self.sent);
         let mut ledger = self.ticket.entry.ledger();
         let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
-        totals.answer(first_time, between, tokens, is_good);
+        totals.count_answer(first_time, between, tokens, is_good);
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -21,7 +21,7 @@
     pub(crate) backend: backend::Backend,
     stopped_at: sync::OnceLock<time::Instant>,
     pub(crate) open: atomic::AtomicU64,
-    limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::Limit>>,
+    limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::CallerLimiter>>,
     ledger: sync::Mutex<usage::Ledger>,
 }
 
@@ -76,7 +76,7 @@
 
     pub(crate) fn limits(
         &self,
-    ) -> sync::MutexGuard<'_, collections::BTreeMap<ids::CallerName, limit::Limit>> {
+    ) -> sync::MutexGuard<'_, collections::BTreeMap<ids::CallerName, limit::CallerLimiter>> {
         locks::lock(&self.limits)
     }
 
@@ -91,10 +91,10 @@
 
     /// Takes a retry from the budget of a service, and counts it.
     pub(crate) fn take_retry(&self, service: &str, caller: &str, reason: outcome::Reason) -> bool {
-        let taken = self.directory.view().budget(service).take(reason);
+        let taken = self.directory.view().budget(service).try_withdraw(reason);
         if taken {
             self.metrics.requests.retried.get_or_create(&metrics::reason_labels(reason)).inc();
-            self.ledger().totals(service, caller).retry(reason);
+            self.ledger().totals(service, caller).count_retry(reason);
         }
         taken
     }
@@ -108,7 +108,7 @@
         tokens: u64,
     ) {
         self.metrics.requests.wasted.get_or_create(&metrics::reason_labels(reason)).inc_by(tokens);
-        self.ledger().totals(service, caller).waste(reason, tokens);
+        self.ledger().totals(service, caller).count_waste(reason, tokens);
     }
 
     /// Starts to leave: the balancer is told first, then new requests are refused.
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -4,7 +4,9 @@
 
 use subtle::ConstantTimeEq;
 
-use rhubarb_core::{budget, fair, ids, list, load, owner, pace, pool, revisions, subset};
+use rhubarb_core::{
+    budget, fair_share, ids, list, load, owner, pool, prefill_time, revisions, subset,
+};
 use rhubarb_node::{instances, service_list};
 
 /// Pools by service and role.
@@ -26,9 +28,9 @@
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
     members: collections::BTreeMap<ids::ServiceName, owner::Members>,
-    budgets: collections::BTreeMap<ids::ServiceName, budget::Budget>,
-    fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
-    paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
+    budgets: collections::BTreeMap<ids::ServiceName, budget::RetryBudget>,
+    fairs: collections::BTreeMap<ids::ServiceName, fair_share::FairShare>,
+    paces: collections::BTreeMap<ids::ServiceName, prefill_time::PrefillTime>,
     digests: collections::BTreeMap<String, ids::CallerName>,
 }
 
@@ -213,17 +215,17 @@
     }
 
     /// Fair shares of the callers of a service.
-    pub(crate) fn fair(&mut self, service: &str) -> &mut fair::Fair {
+    pub(crate) fn fair(&mut self, service: &str) -> &mut fair_share::FairShare {
         self.fairs.entry(service.to_string()).or_default()
     }
 
     /// Pace of the prefill engines of a service.
-    pub(crate) fn pace(&mut self, service: &str) -> &mut pace::Pace {
+    pub(crate) fn pace(&mut self, service: &str) -> &mut prefill_time::PrefillTime {
         self.paces.entry(service.to_string()).or_default()
     }
 
     /// Retry budget of a service.
-    pub(crate) fn budget(&mut self, service: &str) -> &mut budget::Budget {
+    pub(crate) fn budget(&mut self, service: &str) -> &mut budget::RetryBudget {
         self.budgets.entry(service.to_string()).or_default()
     }
 
--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use rhubarb_core::{assembly, gate, ids, limit, outcome, slots, usage};
+use rhubarb_core::{gate, ids, limit, outcome, reassembly, slots, usage};
 use rhubarb_wire::{chunk, frame, message, offer};
 
 use crate::meter;
@@ -62,7 +62,7 @@
         frame::decode::<message::ToAgent>(&bytes[4..]).is_ok()
     });
     meter.time("take one token into an answer", 100_000, |_| {
-        assembly::Assembly::default().take(0, b"token").map(<[u8]>::len)
+        reassembly::Reassembly::default().accept(0, b"token").map(<[u8]>::len)
     });
 }
 
@@ -140,17 +140,19 @@
     meter.size("usage row in a stored record", bytes / CALLERS as usize);
 }
 
-fn all_limits(now: time::Instant) -> std::collections::BTreeMap<ids::CallerName, limit::Limit> {
+fn all_limits(
+    now: time::Instant,
+) -> std::collections::BTreeMap<ids::CallerName, limit::CallerLimiter> {
     let limits = (0..CALLERS).map(|number| {
         let name = format!("caller-{number}");
-        (name, limit::Limit::new(100, 4, now))
+        (name, limit::CallerLimiter::new(100, 4, now))
     });
     limits.collect()
 }
 
 fn count_request(ledger: &mut usage::Ledger, number: u32) {
     let totals = ledger.totals("clip-models", &format!("caller-{number}"));
-    totals.count(outcome::Outcome::Answered, None);
+    totals.count_outcome(outcome::Outcome::Answered, None);
     totals.first.add(time::Duration::from_millis(u64::from(number % 400) + 1));
     totals.between.add(time::Duration::from_millis(u64::from(number % 70) + 1));
     totals.output_tokens += 200;
