--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -8,7 +8,7 @@
 use rhubarb_fakes::caller;
 use rhubarb_node::{client, response};
 
-/// Host that the default routes of a [`site::Site`](crate::site::Site) match.
+/// Host that the default routes of a site match.
 pub(crate) const HOST: &str = "x.example";
 /// Timeout of a request; longer than the timeout of any route.
 pub(crate) const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(20);
