--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -54,8 +54,8 @@
         (Fault::Resets, standin::UNSAFE, 502, 1),
         (Fault::OtherId, standin::SAFE, 502, 2),
         (Fault::OtherId, standin::UNSAFE, 502, 1),
-        (Fault::Mute, standin::SAFE, 504, 2),
-        (Fault::Mute, standin::UNSAFE, 504, 1),
+        (Fault::Hangs, standin::SAFE, 504, 2),
+        (Fault::Hangs, standin::UNSAFE, 504, 1),
     ];
     for (number, (fault, path, status, runs)) in cases.into_iter().enumerate() {
         for plain in &site.plain {
--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -44,7 +44,7 @@
     // The last record takes as long as it may, and so do answers.
     site.store.set_mode(store::Mode::Silent);
     for plain in &site.plain {
-        plain.set_fault(backend::Fault::Mute);
+        plain.set_fault(backend::Fault::Hangs);
     }
     let edge = &site.edges[0];
     edge.signal(Signal::TERM);
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -68,8 +68,13 @@
 
 #[tokio::test]
 async fn fault_table() -> anyhow::Result<()> {
-    let broken =
-        [Fault::CutsStream, Fault::EndsWithin, Fault::Stalls, Fault::SkipsEvent, Fault::Resets];
+    let broken = [
+        Fault::AbortsStream,
+        Fault::TruncatesStream,
+        Fault::Stalls,
+        Fault::SkipsEvent,
+        Fault::Resets,
+    ];
     for fault in broken {
         meet(fault, false).await?;
     }
@@ -98,7 +103,7 @@
 async fn prefill_fails() -> anyhow::Result<()> {
     let sizes = standin::Sizes { prefill: 2, ..standin::Sizes::default() };
     let site = standin::Site::start(sizes).await?;
-    for fault in [Fault::Sheds, Fault::Mute, Fault::Moved, Fault::Forgets] {
+    for fault in [Fault::Sheds, Fault::Hangs, Fault::Moved, Fault::EvictsResults] {
         site.prefill[0].set_fault(fault);
         let attempt = format!("a-{fault:?}");
         let reply = site.edges[0].call(Method::POST, standin::STREAM, &attempt, "body").await?;
@@ -137,7 +142,7 @@
 #[tokio::test]
 async fn resumed_once() -> anyhow::Result<()> {
     let site = standin::Site::start(standin::Sizes::default()).await?;
-    site.decode[0].set_fault(Fault::CutsStream);
+    site.decode[0].set_fault(Fault::AbortsStream);
     site.decode[1].set_fault(Fault::StartsOver);
     for number in 0..MOST_CALLS {
         let attempt = format!("a{number}");
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -69,7 +69,7 @@
     /// Runs the request and fails.
     Fails,
     /// Runs the request and never answers.
-    Mute,
+    Hangs,
     /// Runs the request and closes the connection without an answer.
     Resets,
     /// Answers with another attempt's id.
@@ -77,9 +77,9 @@
     /// Answers as another server does that has its address now.
     Moved,
     /// Breaks its stream off within the third event.
-    CutsStream,
+    AbortsStream,
     /// Ends its stream in order, within the third event.
-    EndsWithin,
+    TruncatesStream,
     /// Goes silent after the second event.
     Stalls,
     /// Stands still for a while after the second event, like a run that was preempted.
@@ -91,7 +91,7 @@
     /// Has no memory to set aside.
     Full,
     /// Loses the results of prefills at once.
-    Forgets,
+    EvictsResults,
 }
 
 /// Events of each stream.
@@ -297,11 +297,11 @@
     }
 
     async fn prefill(&self, headers: &HeaderMap, fault: Fault) -> Response<response::Body> {
-        if fault == Fault::Mute {
+        if fault == Fault::Hangs {
             tokio::time::sleep(FOREVER).await;
         }
         let handle = format!("kv-{}-{}", self.id, text(headers, "x-attempt-id"));
-        if fault != Fault::Forgets {
+        if fault != Fault::EvictsResults {
             locks::lock(&self.inner.handles).insert(handle.clone(), time::Instant::now());
         }
         let reply = json!({"handle": handle, "tokens": 100, "version": 1});
@@ -318,7 +318,7 @@
     ) -> Response<response::Body> {
         let _running = Running::new(&self.inner);
         let status = match fault {
-            Fault::Mute => {
+            Fault::Hangs => {
                 tokio::time::sleep(FOREVER).await;
                 StatusCode::OK
             }
@@ -361,9 +361,9 @@
         tokio::time::sleep(EVENT_PAUSE).await;
         let event = format!("id: {number}\ndata: token-{number}\n\n");
         let piece = match fault {
-            Fault::Mute => return tokio::time::sleep(FOREVER).await,
+            Fault::Hangs => return tokio::time::sleep(FOREVER).await,
             Fault::Resets => return drop(sender.send(Err(io::Error::other("reset"))).await),
-            Fault::CutsStream | Fault::EndsWithin if number == 2 => event[..9].to_string(),
+            Fault::AbortsStream | Fault::TruncatesStream if number == 2 => event[..9].to_string(),
             Fault::Stalls if number == 2 => return tokio::time::sleep(FOREVER).await,
             Fault::Pauses if number == 2 => {
                 tokio::time::sleep(LONG_PAUSE).await;
@@ -376,10 +376,10 @@
             return;
         }
         match fault {
-            Fault::CutsStream if number == 2 => {
+            Fault::AbortsStream if number == 2 => {
                 return drop(sender.send(Err(io::Error::other("crashed"))).await);
             }
-            Fault::EndsWithin if number == 2 => return,
+            Fault::TruncatesStream if number == 2 => return,
             _ => {}
         }
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -83,18 +83,18 @@
 const SERVER_FAULTS: [backend::Fault; 14] = [
     backend::Fault::Sheds,
     backend::Fault::Fails,
-    backend::Fault::Mute,
+    backend::Fault::Hangs,
     backend::Fault::Resets,
     backend::Fault::OtherId,
     backend::Fault::Moved,
-    backend::Fault::CutsStream,
-    backend::Fault::EndsWithin,
+    backend::Fault::AbortsStream,
+    backend::Fault::TruncatesStream,
     backend::Fault::Stalls,
     backend::Fault::Pauses,
     backend::Fault::SkipsEvent,
     backend::Fault::StartsOver,
     backend::Fault::Full,
-    backend::Fault::Forgets,
+    backend::Fault::EvictsResults,
 ];
 
 struct Draw {
