--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -42,7 +42,7 @@
 async fn taken_last() -> anyhow::Result<()> {
     let site = standin::Site::start(standin::Sizes::default()).await?;
     // The last record takes as long as it may, and so do answers.
-    site.store.set_mode(store::Mode::Silent);
+    site.store.set_mode(store::Mode::Unresponsive);
     for plain in &site.plain {
         plain.set_fault(backend::Fault::Hangs);
     }
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn outages_served() -> anyhow::Result<()> {
     let site = standin::Site::start(standin::Sizes::default()).await?;
-    for mode in [store::Mode::Busy, store::Mode::Silent, store::Mode::Lost] {
+    for mode in [store::Mode::Busy, store::Mode::Unresponsive, store::Mode::LostReplies] {
         site.store.set_mode(mode);
         tokio::time::sleep(time::Duration::from_millis(300)).await;
         assert!(is_served(&site, 0, standin::UNSAFE).await, "{mode:?}");
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -50,9 +50,9 @@
     /// Calls are refused, and nothing is done.
     Busy,
     /// Calls get no answer, and nothing is done.
-    Silent,
+    Unresponsive,
     /// Writes are done and not answered.
-    Lost,
+    LostReplies,
     /// Calls are answered late.
     Slow,
 }
@@ -163,9 +163,9 @@
         };
         match mode {
             Mode::Busy => return response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"),
-            Mode::Silent => tokio::time::sleep(FOREVER).await,
+            Mode::Unresponsive => tokio::time::sleep(FOREVER).await,
             Mode::Slow => tokio::time::sleep(LATE).await,
-            Mode::Up | Mode::Lost => {}
+            Mode::Up | Mode::LostReplies => {}
         }
         let query = parts.uri.query().unwrap_or_default().to_string();
         match (&parts.method, parts.uri.path()) {
@@ -174,7 +174,7 @@
             (&Method::POST, "/v1/rows-tx") => {
                 let content = response::read_body(body, 1 << 20).await.unwrap_or_default();
                 let written = self.write(&content);
-                if mode == Mode::Lost {
+                if mode == Mode::LostReplies {
                     tokio::time::sleep(FOREVER).await;
                 }
                 written
@@ -260,7 +260,7 @@
         if state.mode == Mode::Busy {
             return Some(response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"));
         }
-        if state.mode == Mode::Silent {
+        if state.mode == Mode::Unresponsive {
             return None;
         }
         if after < state.oldest {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -79,7 +79,7 @@
 /// An entry that is told to stop may take its grace of 8 s.
 const STOP_SPAN: time::Duration = time::Duration::from_secs(9);
 const STORE_MODES: [store::Mode; 4] =
-    [store::Mode::Busy, store::Mode::Silent, store::Mode::Lost, store::Mode::Slow];
+    [store::Mode::Busy, store::Mode::Unresponsive, store::Mode::LostReplies, store::Mode::Slow];
 const SERVER_FAULTS: [backend::Fault; 14] = [
     backend::Fault::Sheds,
     backend::Fault::Fails,
