--- a/crates/e2e/src/standin.rs
+++ b/crates/e2e/src/standin.rs
@@ -294,7 +294,7 @@
 
     fn kept_since(&self, oldest: Option<time::Instant>) -> usize {
         let engines = self.prefill.iter().chain(&self.decode);
-        let held = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
+        let held = engines.map(|engine| engine.hold_count(oldest) + engine.running() as usize);
         let handles = rhubarb_node::locks::lock(&self.handles);
         held.sum::<usize>() + backend::count_since(&handles, oldest)
     }
--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -17,7 +17,7 @@
     let reply = site.edges[0].call_with(Method::POST, path, "a1", "body", &forged).await?;
     assert_eq!((reply.status, reply.body.as_deref()), (200, Some("body")));
     assert_eq!(reply.headers["x-response-seal"], "seal");
-    let seen: Vec<_> = site.plain.iter().flat_map(|plain| plain.seen()).collect();
+    let seen: Vec<_> = site.plain.iter().flat_map(|plain| plain.requests()).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].target, path);
     assert_eq!(seen[0].headers["x-other"], "kept");
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -107,12 +107,12 @@
     entry["state"] = json!("draining");
     site.store.put("servers", "i-plain-0", entry.to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
-    let before = site.plain[0].seen().len();
+    let before = site.plain[0].requests().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, standin::SAFE).await);
     }
     // Answers tell a load; they do not make a leaving server usable again.
-    assert_eq!(site.plain[0].seen().len(), before);
+    assert_eq!(site.plain[0].requests().len(), before);
     Ok(())
 }
 
@@ -122,11 +122,11 @@
     site.store.put("servers", "i-ghost", "not an entry");
     site.store.put("servers", "i-plain-1", json!({"service": "plain"}).to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
-    let before = site.plain[1].seen().len();
+    let before = site.plain[1].requests().len();
     for _ in 0..10 {
         assert!(is_served(&site, 0, standin::SAFE).await, "the other entries hold");
     }
-    assert_eq!(site.plain[1].seen().len(), before);
+    assert_eq!(site.plain[1].requests().len(), before);
     assert!(site.edges[0].log().contains("entry not used"));
     Ok(())
 }
@@ -165,11 +165,11 @@
     site.plain[0].set_fault(backend::Fault::None);
     site.store.put("servers", "i-plain-0", entry.to_string());
     tokio::time::sleep(time::Duration::from_millis(300)).await;
-    let before = site.plain[0].seen().len();
+    let before = site.plain[0].requests().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, standin::SAFE).await);
     }
-    assert!(site.plain[0].seen().len() > before, "what was known of the old process is void");
+    assert!(site.plain[0].requests().len() > before, "what was known of the old process is void");
     Ok(())
 }
 
@@ -188,11 +188,11 @@
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
     assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
-    let before = site.plain[1].seen().len();
+    let before = site.plain[1].requests().len();
     for _ in 0..10 {
         assert!(is_served(&site, 1, standin::SAFE).await);
     }
-    assert_eq!(site.plain[1].seen().len(), before, "a server that is gone is used");
+    assert_eq!(site.plain[1].requests().len(), before, "a server that is gone is used");
     relay.set(relay::Mode::Pass, relay::Mode::Pass);
     site.store.put("op", "config", site.config(9).to_string());
     tokio::time::sleep(time::Duration::from_millis(3_000)).await;
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -27,7 +27,7 @@
         assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())), "{path}");
         assert_eq!(site.runs(attempt), 1);
     }
-    let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.seen()).collect();
+    let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.requests()).collect();
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-source")));
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-hold")));
     assert!(settled(&site).await, "an engine keeps something");
@@ -149,7 +149,7 @@
         let reply = site.edges[0].call(Method::POST, standin::RESUMABLE, &attempt, "b").await?;
         assert_eq!((reply.status, reply.body), (200, Some(standin::whole_stream())));
         if site.runs(&attempt) == 2 {
-            let seen = site.decode[1].seen();
+            let seen = site.decode[1].requests();
             assert_eq!(seen.last().unwrap().headers["last-event-id"], "1");
             return Ok(());
         }
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -32,8 +32,8 @@
     fault: Fault,
     // Sends of each attempt that ran here.
     runs: collections::BTreeMap<String, u32>,
-    seen: Vec<Seen>,
-    holds: Kept,
+    requests: Vec<ReceivedRequest>,
+    holds: CreationTimes,
     orders: u64,
     fence: u64,
     // Starts so far.
@@ -43,13 +43,13 @@
 }
 
 /// What engines keep for a request, by name, and since when.
-pub type Kept = collections::BTreeMap<String, time::Instant>;
+pub type CreationTimes = collections::BTreeMap<String, time::Instant>;
 /// Results of prefills that all engines of a deployment keep, by handle.
-pub type Handles = sync::Arc<sync::Mutex<Kept>>;
+pub type Handles = sync::Arc<sync::Mutex<CreationTimes>>;
 
 /// What a request brought.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Path and query.
     pub target: String,
     /// Headers.
@@ -165,8 +165,8 @@
     }
 
     /// Requests that ran here.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state().seen.clone()
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        self.state().requests.clone()
     }
 
     /// Requests that run now.
@@ -175,7 +175,7 @@
     }
 
     /// Holds that were taken since `oldest` and not given back.
-    pub fn kept(&self, oldest: Option<time::Instant>) -> usize {
+    pub fn hold_count(&self, oldest: Option<time::Instant>) -> usize {
         count_since(&self.state().holds, oldest)
     }
 
@@ -221,7 +221,7 @@
             return shed();
         }
         let mut state = self.state();
-        let hold = format!("hold-{}-{}", self.id, state.holds.len() + state.seen.len());
+        let hold = format!("hold-{}-{}", self.id, state.holds.len() + state.requests.len());
         state.holds.insert(hold.clone(), time::Instant::now());
         response::json(StatusCode::OK, &json!({"hold": hold}))
     }
@@ -287,7 +287,7 @@
             let mut state = self.state();
             *state.runs.entry(attempt.clone()).or_default() += 1;
             let (target, headers, body) = (target.to_string(), headers.clone(), content.clone());
-            state.seen.push(Seen { target, headers, body });
+            state.requests.push(ReceivedRequest { target, headers, body });
         }
         let echoed = if fault == Fault::OtherId { "other" } else { &attempt };
         if self.state().stage.is_empty() {
@@ -352,7 +352,7 @@
 }
 
 /// Number of things that are kept since `oldest`, or at all.
-pub fn count_since(kept: &Kept, oldest: Option<time::Instant>) -> usize {
+pub fn count_since(kept: &CreationTimes, oldest: Option<time::Instant>) -> usize {
     kept.values().filter(|since| oldest.is_none_or(|oldest| **since >= oldest)).count()
 }
 
