--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -74,6 +74,6 @@
 impl Reply {
     /// Whether the entry itself gave the answer, and no server.
     pub fn is_own(&self) -> bool {
-        !caller::is_servers(&self.headers)
+        !caller::is_from_server(&self.headers)
     }
 }
