--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -238,7 +238,7 @@
 
     async fn load_model(&self, deps: &Deps, content: &Bytes) -> Reply {
         let Ok(order) = serde_json::from_slice::<ModelOrder>(content) else { return bad() };
-        if order.fence.is_some_and(|fence| !deps.runs.pass_fence(&self.name, fence)) {
+        if order.fence.is_some_and(|fence| !deps.runs.accept_fence(&self.name, fence)) {
             return response::text(StatusCode::CONFLICT, "old fencing number");
         }
         for _ in 0..=order.adapters.len() {
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain servers, which count runs by idempotency key.
+//! Plain servers, which count the runs of each idempotency key.
 
 use std::{collections, sync, time};
 
@@ -8,19 +8,21 @@
 
 use rhubarb_node::{locks, response};
 
-/// Runs by idempotency key, over all servers.
+/// Run counts by idempotency key, and the newest fencing number by server.
+///
+/// All servers of a deployment share them.
 #[derive(Debug, Default)]
 pub struct Runs {
     counts: sync::Mutex<collections::BTreeMap<String, u64>>,
     fences: sync::Mutex<collections::BTreeMap<String, u64>>,
 }
 
-/// Header with the fencing number of an agent.
-pub const FENCE: &str = "rhubarb-fence";
+/// Header that carries the fencing number of an agent.
+pub const FENCE_HEADER: &str = "rhubarb-fence";
 const MAX_BYTES: usize = 16 * 1024 * 1024;
 
 impl Runs {
-    /// Counts one run of the key in `headers`, if there is one.
+    /// Counts one run of `key`, if there is one.
     pub fn count(&self, key: Option<&str>) {
         if let Some(key) = key {
             let mut counts = locks::lock(&self.counts);
@@ -34,8 +36,8 @@
         counts.get(key).copied().unwrap_or(0)
     }
 
-    /// Whether `fence` is not older than the newest that `server` has seen.
-    pub fn pass_fence(&self, server: &str, fence: u64) -> bool {
+    /// Records `fence` for `server` and returns whether it is at least the newest one received.
+    pub fn accept_fence(&self, server: &str, fence: u64) -> bool {
         let mut fences = locks::lock(&self.fences);
         let newest = fences.entry(server.to_string()).or_default();
         *newest = fence.max(*newest);
@@ -60,25 +62,28 @@
     pub body: &'a Bytes,
 }
 
-/// Answers a call: `/bytes?N` with N bytes, `/wait?MS` late, and all else with what it got.
+/// Answers a call.
+///
+/// `/bytes?N` returns N bytes of [`pattern`]. `/wait?MS` and `/confirm?MS` wait MS milliseconds.
+/// All paths but `/bytes` echo the request as JSON.
 pub async fn call(runs: &Runs, call: Call<'_>) -> Response<response::Body> {
     let text = |name: &str| call.headers.get(name).and_then(|value| value.to_str().ok());
-    let fence = text(FENCE).and_then(|fence| fence.parse().ok());
-    if fence.is_some_and(|fence| !runs.pass_fence(call.server, fence)) {
+    let fence = text(FENCE_HEADER).and_then(|fence| fence.parse().ok());
+    if fence.is_some_and(|fence| !runs.accept_fence(call.server, fence)) {
         return response::text(StatusCode::CONFLICT, "old fencing number");
     }
     runs.count(text("idempotency-key"));
-    // Calls are counted by server and path too, as `SERVER-PATH`.
+    // Calls are also counted by server and path, under the key `SERVER-PATH`.
     runs.count(Some(&format!("{}{}", call.server, call.path.replace('/', "-"))));
-    let number = call.query.parse().unwrap_or(0);
+    let argument = call.query.parse().unwrap_or(0);
     if call.path == "/wait" || call.path == "/confirm" {
-        tokio::time::sleep(time::Duration::from_millis(number)).await;
+        tokio::time::sleep(time::Duration::from_millis(argument)).await;
     }
     if call.path == "/bytes" {
-        let size = (number as usize).min(MAX_BYTES);
+        let size = (argument as usize).min(MAX_BYTES);
         return response::text(StatusCode::OK, pattern(size));
     }
-    let got = json!({
+    let echo = json!({
         "server": call.server,
         "method": call.method.as_str(),
         "path": call.path,
@@ -89,14 +94,14 @@
         "connection": text("connection"),
         "authorization": text("authorization"),
     });
-    let mut reply = response::json(StatusCode::OK, &got);
-    let close = header::HeaderValue::from_static("timeout=5");
-    reply.headers_mut().insert("keep-alive", close);
+    let mut reply = response::json(StatusCode::OK, &echo);
+    let keep_alive = header::HeaderValue::from_static("timeout=5");
+    reply.headers_mut().insert("keep-alive", keep_alive);
     reply.headers_mut().insert("x-served", header::HeaderValue::from_static("yes"));
     reply
 }
 
-/// `size` bytes that differ by position.
+/// Returns `size` bytes that repeat the letters `a` to `w`.
 pub fn pattern(size: usize) -> Vec<u8> {
     (0..size).map(|at| b'a' + (at % 23) as u8).collect()
 }
