--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: continuous batching, limited memory, prefix cache, KV transfer.
+//! Model engines with continuous batching, limited memory, a prefix cache and KV transfer.
 
 use std::{collections, sync, time};
 
@@ -12,14 +12,14 @@
 
 use crate::{plain, switch, tokens};
 
-/// One engine; it can prefill and decode.
+/// One engine, which can prefill and decode.
 #[derive(Debug)]
 pub struct Engine {
     name: String,
     url: String,
     state: sync::Mutex<State>,
-    prefill_turn: lock::Mutex<()>,
-    link: lock::Mutex<()>,
+    prefill_lock: lock::Mutex<()>,
+    transfer_lock: lock::Mutex<()>,
 }
 
 #[derive(Debug, Default)]
@@ -69,44 +69,44 @@
     fence: Option<u64>,
 }
 
-/// Requests that decode memory holds.
-pub const ROOMS: u32 = 20;
-const STEP: time::Duration = time::Duration::from_millis(4);
-const STEP_EACH: time::Duration = time::Duration::from_micros(200);
+/// Slots for requests in the decode memory of an engine.
+pub const SLOTS: u32 = 20;
+const STEP_BASE: time::Duration = time::Duration::from_millis(4);
+const STEP_PER_STREAM: time::Duration = time::Duration::from_micros(200);
 const PREFILL_BASE: time::Duration = time::Duration::from_millis(10);
-const PREFILL_TOKEN: time::Duration = time::Duration::from_micros(60);
-const TRANSFER_TOKEN: time::Duration = time::Duration::from_micros(4);
-const KEEP_RESULT: time::Duration = time::Duration::from_millis(800);
+const PREFILL_PER_TOKEN: time::Duration = time::Duration::from_micros(60);
+const TRANSFER_PER_TOKEN: time::Duration = time::Duration::from_micros(4);
+const RESULT_TTL: time::Duration = time::Duration::from_millis(800);
 const LOAD_LAG: time::Duration = time::Duration::from_millis(300);
 const PREFIX_CHARS: usize = 256;
 const MAX_PREFIXES: usize = 32;
-const CHANNEL: usize = 8;
-const CALL_LIMIT: time::Duration = time::Duration::from_secs(10);
+const CHANNEL_CAPACITY: usize = 8;
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 type Reply = Response<response::Body>;
 
-/// Frees the room of a stream when the stream ends or its connection is closed.
-struct Room {
+/// Reserved slot of one stream, freed when the stream ends or its connection is closed.
+struct Reservation {
     engine: sync::Arc<Engine>,
     id: String,
 }
 
-impl Drop for Room {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.engine.lock().streams.remove(&self.id);
-        self.engine.note_load();
+        self.engine.record_load();
     }
 }
 
 impl Engine {
-    /// Makes the engine `name`, which others reach at `url`.
+    /// Creates the engine `name`, which other engines reach at `url`.
     pub fn new(name: &str, url: String) -> Engine {
         Engine {
             name: name.to_string(),
             url,
             state: sync::Mutex::default(),
-            prefill_turn: lock::Mutex::new(()),
-            link: lock::Mutex::new(()),
+            prefill_lock: lock::Mutex::new(()),
+            transfer_lock: lock::Mutex::new(()),
         }
     }
 
@@ -114,7 +114,7 @@
         locks::lock(&self.state)
     }
 
-    /// Requests that the engine's memory holds.
+    /// Number of streams, stored prefill results and running prefills.
     pub fn held(&self) -> u64 {
         let mut state = self.lock();
         let now = clock::now();
@@ -137,34 +137,36 @@
         }
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let mut state = self.lock();
         let held = state.streams.len() as u32;
         state.loads.push_back((clock::now(), held));
     }
 
-    // The load of a while ago: engines report late.
+    // Returns the load as of `LOAD_LAG` ago, because the reports of engines are delayed.
     fn load(&self) -> serde_json::Value {
         let mut state = self.lock();
-        let old = clock::now() - LOAD_LAG;
-        while state.loads.get(1).is_some_and(|(at, _)| *at <= old) {
+        let cutoff = clock::now() - LOAD_LAG;
+        while state.loads.get(1).is_some_and(|(at, _)| *at <= cutoff) {
             state.loads.pop_front();
         }
-        let held = state.loads.front().filter(|(at, _)| *at <= old).map_or(0, |(_, held)| *held);
-        json!({ "rooms": ROOMS, "held": held, "model": state.model, "prefilled": state.prefilled })
+        let held = state.loads.front().filter(|(at, _)| *at <= cutoff).map_or(0, |(_, held)| *held);
+        json!({ "rooms": SLOTS, "held": held, "model": state.model, "prefilled": state.prefilled })
     }
 
     async fn prefill(&self, deps: &Deps, content: &Bytes) -> Reply {
-        let Ok(order) = serde_json::from_slice::<PrefillOrder>(content) else { return bad() };
-        let _held = Prefilling::start(self);
+        let Ok(order) = serde_json::from_slice::<PrefillOrder>(content) else {
+            return bad_request();
+        };
+        let _prefilling = Prefilling::start(self);
         let count = tokens::prompt_tokens(&order.prompt);
         {
-            let _turn = self.prefill_turn.lock().await;
-            let fresh = if self.touch_prefix(&order.prompt) { count / 4 } else { count };
-            tokio::time::sleep(PREFILL_BASE + PREFILL_TOKEN * fresh).await;
+            let _guard = self.prefill_lock.lock().await;
+            let uncached = if self.cache_prefix(&order.prompt) { count / 4 } else { count };
+            tokio::time::sleep(PREFILL_BASE + PREFILL_PER_TOKEN * uncached).await;
         }
         deps.switches.wait_out(&self.name, &[switch::Mode::Frozen]).await;
-        let evicted_at = clock::now() + KEEP_RESULT;
+        let evicted_at = clock::now() + RESULT_TTL;
         let mut state = self.lock();
         state.prefilled += u64::from(count);
         state.results.insert(order.id.clone(), Cached { tokens: count, evicted_at });
@@ -173,8 +175,8 @@
         response::json(StatusCode::OK, &reply)
     }
 
-    // Whether the prompt's prefix is cached; it is from now on.
-    fn touch_prefix(&self, prompt: &str) -> bool {
+    // Caches the prefix of the prompt and returns whether it was cached before.
+    fn cache_prefix(&self, prompt: &str) -> bool {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let mut state = self.lock();
         let at = state.prefixes.iter().position(|other| *other == prefix);
@@ -188,56 +190,62 @@
         at.is_some()
     }
 
-    // Transfers leave over one link, one at a time, and free the result.
+    // Transfers share one link, so they run one at a time. A transfer frees the result.
     async fn export(&self, handle: &str) -> Reply {
-        let _turn = self.link.lock().await;
+        let _guard = self.transfer_lock.lock().await;
         let now = clock::now();
         let cached = self.lock().results.remove(handle).filter(|cached| cached.evicted_at > now);
         let Some(cached) = cached else {
             return response::text(StatusCode::GONE, "evicted");
         };
-        tokio::time::sleep(TRANSFER_TOKEN * cached.tokens).await;
+        tokio::time::sleep(TRANSFER_PER_TOKEN * cached.tokens).await;
         response::text(StatusCode::OK, "kv")
     }
 
     async fn decode(self: &sync::Arc<Self>, deps: &Deps, content: &Bytes) -> Reply {
-        let Ok(order) = serde_json::from_slice::<DecodeOrder>(content) else { return bad() };
+        let Ok(order) = serde_json::from_slice::<DecodeOrder>(content) else {
+            return bad_request();
+        };
         let cancelled = sync::Arc::new(lock::Notify::new());
         {
             let mut state = self.lock();
-            if state.streams.len() as u32 >= ROOMS {
+            if state.streams.len() as u32 >= SLOTS {
                 return response::text(StatusCode::TOO_MANY_REQUESTS, "memory is full");
             }
             state.streams.insert(order.id.clone(), cancelled.clone());
         }
-        self.note_load();
-        let room = Room { engine: self.clone(), id: order.id.clone() };
+        self.record_load();
+        let reservation = Reservation { engine: self.clone(), id: order.id.clone() };
         let url = format!("{}/kv/{}", order.source, order.handle);
-        match deps.client.get(&url, CALL_LIMIT).await {
+        match deps.client.get(&url, CALL_TIMEOUT).await {
             Ok(reply) if reply.status == StatusCode::OK => {}
             Ok(_) => return response::text(StatusCode::GONE, "prefill result evicted"),
             Err(err) => return response::text(StatusCode::BAD_GATEWAY, err.to_string()),
         }
         deps.runs.count(order.key.as_deref());
-        let (sender, receiver) = lock::mpsc::channel(CHANNEL);
+        let (sender, receiver) = lock::mpsc::channel(CHANNEL_CAPACITY);
         let switches = deps.switches.clone();
-        tokio::spawn(async move { generate(room, order, switches, sender, cancelled).await });
+        tokio::spawn(
+            async move { generate(reservation, order, switches, sender, cancelled).await },
+        );
         Response::new(response::stream(receiver))
     }
 
     fn cancel(&self, content: &Bytes) -> Reply {
-        let Ok(order) = serde_json::from_slice::<CancelOrder>(content) else { return bad() };
+        let Ok(order) = serde_json::from_slice::<CancelOrder>(content) else {
+            return bad_request();
+        };
         let mut state = self.lock();
-        let is_meant = |id: &String| order.id.as_ref().is_none_or(|wanted| wanted == id);
-        state.results.retain(|id, _| !is_meant(id));
-        for (_, cancelled) in state.streams.iter().filter(|(id, _)| is_meant(id)) {
+        let is_selected = |id: &String| order.id.as_ref().is_none_or(|wanted| wanted == id);
+        state.results.retain(|id, _| !is_selected(id));
+        for (_, cancelled) in state.streams.iter().filter(|(id, _)| is_selected(id)) {
             cancelled.notify_one();
         }
         response::text(StatusCode::OK, "cancelled")
     }
 
     async fn load_model(&self, deps: &Deps, content: &Bytes) -> Reply {
-        let Ok(order) = serde_json::from_slice::<ModelOrder>(content) else { return bad() };
+        let Ok(order) = serde_json::from_slice::<ModelOrder>(content) else { return bad_request() };
         if order.fence.is_some_and(|fence| !deps.runs.accept_fence(&self.name, fence)) {
             return response::text(StatusCode::CONFLICT, "old fencing number");
         }
@@ -250,14 +258,14 @@
     }
 }
 
-/// What engines share.
+/// State and resources that all engines share.
 #[derive(Clone, Debug)]
 pub struct Deps {
-    /// Switches.
+    /// Modes of the stand-ins.
     pub switches: sync::Arc<switch::Switches>,
-    /// Run counts.
+    /// Run counts and fencing numbers.
     pub runs: sync::Arc<plain::Runs>,
-    /// Time of one fetch from the weight store, which serves one at a time.
+    /// Duration of one fetch from the weight store; the lock makes fetches run one at a time.
     pub weights: sync::Arc<lock::Mutex<time::Duration>>,
     /// Client for transfers between engines.
     pub client: client::Client,
@@ -286,34 +294,35 @@
     }
 }
 
-fn bad() -> Reply {
+fn bad_request() -> Reply {
     response::text(StatusCode::BAD_REQUEST, "not such an order")
 }
 
 async fn generate(
-    room: Room,
+    reservation: Reservation,
     order: DecodeOrder,
     switches: sync::Arc<switch::Switches>,
     sender: lock::mpsc::Sender<std::io::Result<Bytes>>,
     cancelled: sync::Arc<lock::Notify>,
 ) {
     let count = tokens::length(&order.prompt, order.max_tokens);
-    // A deaf engine does not notice that a connection is closed.
-    let is_deaf = switches.mode(&format!("{}-closes", room.engine.name)) != switch::Mode::Up;
+    // If this target is not up, the engine keeps generating after the connection is closed.
+    let ignores_close =
+        switches.mode(&format!("{}-closes", reservation.engine.name)) != switch::Mode::Up;
+    let name = &reservation.engine.name;
     for index in order.skip..count {
-        let active = room.engine.lock().streams.len() as u32;
-        switches.wait_out(&room.engine.name, &[switch::Mode::Frozen, switch::Mode::Silent]).await;
-        let step = STEP + STEP_EACH * active;
-        let step =
-            if switches.mode(&room.engine.name) == switch::Mode::Slow { step * 10 } else { step };
+        let active = reservation.engine.lock().streams.len() as u32;
+        switches.wait_out(name, &[switch::Mode::Frozen, switch::Mode::Silent]).await;
+        let step = STEP_BASE + STEP_PER_STREAM * active;
+        let step = if switches.mode(name) == switch::Mode::Slow { step * 10 } else { step };
         tokio::select! {
             () = tokio::time::sleep(step) => {}
             () = cancelled.notified() => return,
-            () = sender.closed(), if !is_deaf => return,
+            () = sender.closed(), if !ignores_close => return,
         }
         let line = json!({ "index": index, "token": tokens::token(&order.prompt, index) });
         let is_sent = sender.send(Ok(format!("data: {line}\n\n").into())).await.is_ok();
-        if !is_sent && !is_deaf {
+        if !is_sent && !ignores_close {
             return;
         }
     }
