--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -165,7 +165,7 @@
             let uncached = if self.cache_prefix(&order.prompt) { count / 4 } else { count };
             tokio::time::sleep(PREFILL_BASE + PREFILL_PER_TOKEN * uncached).await;
         }
-        deps.switches.wait_out(&self.name, &[switch::Mode::Frozen]).await;
+        deps.switches.wait_while(&self.name, &[switch::Mode::Frozen]).await;
         let evicted_at = clock::now() + RESULT_TTL;
         let mut state = self.lock();
         state.prefilled += u64::from(count);
@@ -312,7 +312,7 @@
     let name = &reservation.engine.name;
     for index in order.skip..count {
         let active = reservation.engine.lock().streams.len() as u32;
-        switches.wait_out(name, &[switch::Mode::Frozen, switch::Mode::Silent]).await;
+        switches.wait_while(name, &[switch::Mode::Frozen, switch::Mode::Silent]).await;
         let step = STEP_BASE + STEP_PER_STREAM * active;
         let step = if switches.mode(name) == switch::Mode::Slow { step * 10 } else { step };
         tokio::select! {
--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -98,7 +98,7 @@
             }
             _ => {
                 let reply = call.await;
-                switches.wait_out(target, &[switch::Mode::Silent]).await;
+                switches.wait_while(target, &[switch::Mode::Silent]).await;
                 reply
             }
         }
@@ -165,7 +165,7 @@
     fn switch(&self, content: &Bytes) -> Reply {
         let text = String::from_utf8_lossy(content).into_owned();
         let found = text.split_once(' ').and_then(|(target, mode)| {
-            self.deps.switches.set(target, switch::scan_mode(mode.trim())?);
+            self.deps.switches.set(target, switch::parse_mode(mode.trim())?);
             Some(())
         });
         match found {
--- a/crates/fakes/src/switch.rs
+++ b/crates/fakes/src/switch.rs
@@ -1,4 +1,4 @@
-//! Switches that make a stand-in misbehave.
+//! Switches that inject faults into the stand-ins.
 
 use std::{collections, sync, time};
 
@@ -9,33 +9,35 @@
 /// Mode of a stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Works.
+    /// Works normally.
     #[default]
     Up,
-    /// Answers at once that it is down.
+    /// Rejects each call at once with status 503.
     Down,
-    /// Works after a delay.
+    /// Handles each call after a delay; engines also generate more slowly.
     Slow,
-    /// Does as asked, then closes the connection without an answer.
+    /// Executes each call, but replies with status 504 in place of the result.
     Lost,
-    /// Loses the answers to writes only.
+    /// Like `Lost`, for writes only.
     LostWrites,
-    /// Does nothing until the mode changes.
+    /// Does not start to handle a call until the mode changes.
     Frozen,
-    /// Answers every call with an error.
+    /// Rejects each call with status 500.
     Failing,
-    /// Does as asked and holds its answer back until the mode changes.
+    /// Executes each call and withholds the response until the mode changes.
     Silent,
 }
 
-/// Switches by target: `table`, `objects`, `instances`, `weights` or a server name.
+/// Modes by target: `table`, `objects`, `instances`, `weights` or a server name.
+///
+/// Any mode but [`Mode::Up`] for `NAME-closes` makes the engine `NAME` ignore closed connections.
 #[derive(Debug, Default)]
 pub struct Switches {
     modes: sync::Mutex<collections::BTreeMap<String, Mode>>,
     changed: lock::Notify,
 }
 
-const SLOW_BY: time::Duration = time::Duration::from_millis(700);
+const SLOW_DELAY: time::Duration = time::Duration::from_millis(700);
 
 const MODES: [(&str, Mode); 8] = [
     ("up", Mode::Up),
@@ -48,8 +50,8 @@
     ("silent", Mode::Silent),
 ];
 
-/// Reads the name of a mode.
-pub fn scan_mode(name: &str) -> Option<Mode> {
+/// Parses the name of a mode.
+pub fn parse_mode(name: &str) -> Option<Mode> {
     MODES.iter().find(|(known, _)| *known == name).map(|(_, mode)| *mode)
 }
 
@@ -66,7 +68,7 @@
     }
 
     /// Waits while `target` is in one of `modes`.
-    pub async fn wait_out(&self, target: &str, modes: &[Mode]) {
+    pub async fn wait_while(&self, target: &str, modes: &[Mode]) {
         loop {
             let changed = self.changed.notified();
             if !modes.contains(&self.mode(target)) {
@@ -76,11 +78,11 @@
         }
     }
 
-    /// Delays a call to `target` as its mode says.
+    /// Delays a call while `target` is frozen, and by `SLOW_DELAY` if it is slow.
     pub async fn delay(&self, target: &str) {
-        self.wait_out(target, &[Mode::Frozen]).await;
+        self.wait_while(target, &[Mode::Frozen]).await;
         if self.mode(target) == Mode::Slow {
-            tokio::time::sleep(SLOW_BY).await;
+            tokio::time::sleep(SLOW_DELAY).await;
         }
     }
 
