--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -25,9 +25,9 @@
 /// Delays of the stand-ins.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
-    /// Lag of the instance list.
+    /// Delay until a change shows in the instance list.
     pub list_lag: time::Duration,
-    /// Time to fetch weights.
+    /// Duration of one fetch from the weight store.
     pub weight_time: time::Duration,
 }
 
@@ -36,7 +36,7 @@
 type Reply = Response<response::Body>;
 
 impl Fakes {
-    /// Makes the stand-ins, which are reached at `address`.
+    /// Creates the stand-ins, whose engines reach each other through `address`.
     pub fn new(address: net::SocketAddr, delays: Delays) -> Fakes {
         Fakes {
             base: format!("http://{address}"),
@@ -61,30 +61,32 @@
         };
         let path = head.uri.path().to_string();
         let mut parts = path.trim_start_matches('/').splitn(3, '/');
-        let area = parts.next().unwrap_or_default();
+        let service = parts.next().unwrap_or_default();
         let name = parts.next().unwrap_or_default();
         let rest = format!("/{}", parts.next().unwrap_or_default());
-        match area {
+        match service {
             "healthz" => response::text(StatusCode::OK, "ok"),
             "held" => response::text(StatusCode::OK, self.held().to_string()),
             "runs" => response::text(StatusCode::OK, self.deps.runs.get(name).to_string()),
             "switch" => self.switch(&content),
             "engine" | "plain" => {
-                self.guarded(name, false, self.serve(&head, name, &rest, content)).await
+                self.with_mode(name, false, self.call_server(&head, name, &rest, content)).await
             }
             _ => {
-                let key = path[1..].strip_prefix(area).unwrap_or_default();
+                let key = path[1..].strip_prefix(service).unwrap_or_default();
                 let key = key.trim_start_matches('/');
-                let writes = head.method != Method::GET;
-                self.guarded(area, writes, self.platform(&head, area, key, content)).await
+                let is_write = head.method != Method::GET;
+                self.with_mode(service, is_write, self.call_platform(&head, service, key, content))
+                    .await
             }
         }
     }
 
-    async fn guarded(
+    // Awaits `call` to `target` as the mode of `target` allows.
+    async fn with_mode(
         &self,
         target: &str,
-        writes: bool,
+        is_write: bool,
         call: impl Future<Output = Reply>,
     ) -> Reply {
         let switches = &self.deps.switches;
@@ -92,7 +94,9 @@
         match switches.mode(target) {
             switch::Mode::Down => response::text(StatusCode::SERVICE_UNAVAILABLE, "down"),
             switch::Mode::Failing => response::text(StatusCode::INTERNAL_SERVER_ERROR, "failing"),
-            mode if mode == switch::Mode::Lost || (writes && mode == switch::Mode::LostWrites) => {
+            mode if mode == switch::Mode::Lost
+                || (is_write && mode == switch::Mode::LostWrites) =>
+            {
                 call.await;
                 response::text(StatusCode::GATEWAY_TIMEOUT, "the answer was lost")
             }
@@ -104,14 +108,14 @@
         }
     }
 
-    async fn platform(
+    async fn call_platform(
         &self,
         head: &hyper::http::request::Parts,
-        area: &str,
+        service: &str,
         key: &str,
         content: Bytes,
     ) -> Reply {
-        match area {
+        match service {
             "table" => self.table.call(&head.method, key, &content),
             "objects" => {
                 let query = head.uri.query().unwrap_or_default();
@@ -126,7 +130,7 @@
         }
     }
 
-    async fn serve(
+    async fn call_server(
         &self,
         head: &hyper::http::request::Parts,
         name: &str,
@@ -149,26 +153,27 @@
 
     fn engine(&self, name: &str) -> sync::Arc<engine::Engine> {
         let mut engines = locks::lock(&self.engines);
-        let fresh = || {
+        let create = || {
             let url = format!("{}/engine/{name}", self.base);
             sync::Arc::new(engine::Engine::new(name, url))
         };
-        engines.entry(name.to_string()).or_insert_with(fresh).clone()
+        engines.entry(name.to_string()).or_insert_with(create).clone()
     }
 
+    // Number of requests and results in the memory of all engines.
     fn held(&self) -> u64 {
         let engines = locks::lock(&self.engines);
         engines.values().map(|engine| engine.held()).sum()
     }
 
-    // The body is `TARGET MODE`.
+    // Sets a mode; the body is `TARGET MODE`.
     fn switch(&self, content: &Bytes) -> Reply {
         let text = String::from_utf8_lossy(content).into_owned();
-        let found = text.split_once(' ').and_then(|(target, mode)| {
+        let parsed = text.split_once(' ').and_then(|(target, mode)| {
             self.deps.switches.set(target, switch::parse_mode(mode.trim())?);
             Some(())
         });
-        match found {
+        match parsed {
             Some(()) => response::text(StatusCode::OK, "set"),
             None => response::text(StatusCode::BAD_REQUEST, "give `TARGET MODE`"),
         }
