--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! The users' platform's store, by its published calls: rows, transactions and feeds.
+//! Stand-in for the store of the users' platform, with its published API for rows and objects.
 
 use std::{collections, net, sync, time};
 
@@ -10,7 +10,7 @@
 
 use rhubarb_node::{locks, response, server};
 
-/// Store; clones share their rows.
+/// The store; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     inner: sync::Arc<Inner>,
@@ -27,6 +27,7 @@
     version: u64,
     rows: collections::BTreeMap<Key, Row>,
     objects: collections::BTreeMap<String, Bytes>,
+    // Oldest version from which a feed can continue.
     oldest: u64,
     mode: Mode,
     calls: u64,
@@ -38,22 +39,23 @@
 #[derive(Clone, Debug)]
 struct Row {
     version: u64,
+    // `None` once the row is deleted.
     value: Option<Vec<u8>>,
 }
 
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Works normally.
     #[default]
     Up,
-    /// Calls are refused, and nothing is done.
+    /// Rejects each call with status 503.
     Busy,
-    /// Calls get no answer, and nothing is done.
+    /// Neither executes nor answers calls, and sends no rows to open feeds.
     Unresponsive,
-    /// Writes are done and not answered.
+    /// Executes row transactions and sends no response to them.
     LostReplies,
-    /// Calls are answered late.
+    /// Handles each call after `SLOW_DELAY`.
     Slow,
 }
 
@@ -79,14 +81,14 @@
     value: String,
 }
 
-/// Time by which a slow store is late.
-const LATE: time::Duration = time::Duration::from_millis(900);
-/// Most bytes of one object.
-const OBJECT_BYTES: usize = 8 << 20;
-/// Names in one answer: fewer than the platform gives, so that few objects make several pages.
-const NAMES: usize = 2;
-/// Longer than any time limit of a caller.
-const FOREVER: time::Duration = time::Duration::from_secs(600);
+/// Delay of each call in slow mode.
+const SLOW_DELAY: time::Duration = time::Duration::from_millis(900);
+/// Maximum size of one object in bytes.
+const MAX_OBJECT_BYTES: usize = 8 << 20;
+/// Object names on one page; fewer than on the platform, so that few objects fill several pages.
+const PAGE_SIZE: usize = 2;
+/// Exceeds every timeout of a caller.
+const HANG_TIME: time::Duration = time::Duration::from_secs(600);
 
 impl Store {
     /// Serves on `ip`.
@@ -104,12 +106,12 @@
         Ok(address)
     }
 
-    /// Writes a row as the operator or a server does, whatever the mode.
+    /// Writes a row as the operator or a server does, in any mode, and returns its version.
     pub fn put(&self, table: &str, key: &str, value: impl Into<Vec<u8>>) -> u64 {
         self.set(table, key, Some(value.into()))
     }
 
-    /// Drops a row.
+    /// Deletes a row in any mode and returns the version of the deletion.
     pub fn remove(&self, table: &str, key: &str) -> u64 {
         self.set(table, key, None)
     }
@@ -124,19 +126,19 @@
         version
     }
 
-    /// Content of a row.
+    /// Value of a row; `None` if it is missing or deleted.
     pub fn get(&self, table: &str, key: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.rows.get(&(table.to_string(), key.to_string()))?.value.clone()
     }
 
-    /// Changes how the store behaves.
+    /// Sets how the store behaves from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
         self.inner.changed.notify_waiters();
     }
 
-    /// Forgets all history.
+    /// Discards the change history, so that a feed from an older version gets status 410.
     pub fn compact(&self) {
         let mut state = self.state();
         state.version += 1;
@@ -145,7 +147,7 @@
         self.inner.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Number of calls received.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
@@ -163,48 +165,49 @@
         };
         match mode {
             Mode::Busy => return response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"),
-            Mode::Unresponsive => tokio::time::sleep(FOREVER).await,
-            Mode::Slow => tokio::time::sleep(LATE).await,
+            Mode::Unresponsive => tokio::time::sleep(HANG_TIME).await,
+            Mode::Slow => tokio::time::sleep(SLOW_DELAY).await,
             Mode::Up | Mode::LostReplies => {}
         }
         let query = parts.uri.query().unwrap_or_default().to_string();
         match (&parts.method, parts.uri.path()) {
-            (&Method::GET, "/v1/rows-get") => self.read(&query),
+            (&Method::GET, "/v1/rows-get") => self.read_rows(&query),
             (&Method::GET, "/v1/rows-feed") => self.feed(&query).await,
             (&Method::POST, "/v1/rows-tx") => {
                 let content = response::read_body(body, 1 << 20).await.unwrap_or_default();
-                let written = self.write(&content);
+                let reply = self.write_rows(&content);
                 if mode == Mode::LostReplies {
-                    tokio::time::sleep(FOREVER).await;
+                    tokio::time::sleep(HANG_TIME).await;
                 }
-                written
+                reply
             }
-            (&Method::GET, "/v1/blob-list") => self.names(&query),
+            (&Method::GET, "/v1/blob-list") => self.list_objects(&query),
             (method, path) => match path.split_once("/v1/blob-") {
                 Some(("", call)) => {
-                    let content = response::read_body(body, OBJECT_BYTES).await.unwrap_or_default();
-                    self.object(method, call, content)
+                    let content =
+                        response::read_body(body, MAX_OBJECT_BYTES).await.unwrap_or_default();
+                    self.call_object(method, call, content)
                 }
                 _ => response::text(StatusCode::NOT_FOUND, "no such call"),
             },
         }
     }
 
-    fn names(&self, query: &str) -> Response<response::Body> {
+    fn list_objects(&self, query: &str) -> Response<response::Body> {
         let (prefix, after) = (parameter(query, "prefix"), parameter(query, "after"));
         let state = self.state();
-        let found: Vec<_> = state
+        let matching: Vec<_> = state
             .objects
             .keys()
             .filter(|name| name.starts_with(&prefix) && **name > after)
-            .take(NAMES + 1)
+            .take(PAGE_SIZE + 1)
             .collect();
-        let has_more = found.len() > NAMES;
-        let names = &found[..found.len().min(NAMES)];
+        let has_more = matching.len() > PAGE_SIZE;
+        let names = &matching[..matching.len().min(PAGE_SIZE)];
         response::json(StatusCode::OK, &json!({"names": names, "has_more": has_more}))
     }
 
-    fn object(&self, method: &Method, call: &str, content: Bytes) -> Response<response::Body> {
+    fn call_object(&self, method: &Method, call: &str, content: Bytes) -> Response<response::Body> {
         let mut state = self.state();
         match (method, call.split_once('/')) {
             (&Method::PUT, Some(("put", name))) => {
@@ -223,13 +226,13 @@
         }
     }
 
-    fn read(&self, query: &str) -> Response<response::Body> {
+    fn read_rows(&self, query: &str) -> Response<response::Body> {
         let state = self.state();
         let table = parameter(query, "table");
         let from = parameter(query, "from").replace("%00", "\0");
         let in_range = |key: &Key| key.0 == table && key.1 >= from;
         let rows = state.rows.iter().filter(|(key, row)| in_range(key) && row.value.is_some());
-        let rows: Vec<_> = rows.map(|(key, row)| show(key, row)).collect();
+        let rows: Vec<_> = rows.map(|(key, row)| row_json(key, row)).collect();
         response::json(
             StatusCode::OK,
             &json!({
@@ -245,7 +248,7 @@
         let until = tokio::time::Instant::now() + time::Duration::from_millis(wait);
         loop {
             let changed = self.inner.changed.notified();
-            if let Some(reply) = self.news(&table, after) {
+            if let Some(reply) = self.rows_since(&table, after) {
                 return reply;
             }
             if tokio::time::timeout_at(until, changed).await.is_err() {
@@ -255,7 +258,8 @@
         }
     }
 
-    fn news(&self, table: &str, after: u64) -> Option<Response<response::Body>> {
+    // Rows changed after version `after`, or an error; `None` while the feed has to wait.
+    fn rows_since(&self, table: &str, after: u64) -> Option<Response<response::Body>> {
         let state = self.state();
         if state.mode == Mode::Busy {
             return Some(response::text(StatusCode::SERVICE_UNAVAILABLE, "busy"));
@@ -266,26 +270,26 @@
         if after < state.oldest {
             return Some(response::text(StatusCode::GONE, "the history is gone"));
         }
-        let newer = |key: &Key, row: &Row| key.0 == table && row.version > after;
-        let mut rows: Vec<_> = state.rows.iter().filter(|(key, row)| newer(key, row)).collect();
+        let is_newer = |key: &Key, row: &Row| key.0 == table && row.version > after;
+        let mut rows: Vec<_> = state.rows.iter().filter(|(key, row)| is_newer(key, row)).collect();
         rows.sort_by_key(|(_, row)| row.version);
-        let rows: Vec<_> = rows.into_iter().map(|(key, row)| show(key, row)).collect();
+        let rows: Vec<_> = rows.into_iter().map(|(key, row)| row_json(key, row)).collect();
         let reply = json!({"rows": rows, "ver": state.version, "now_ms": 1});
         (!rows.is_empty()).then(|| response::json(StatusCode::OK, &reply))
     }
 
-    fn write(&self, content: &Bytes) -> Response<response::Body> {
+    fn write_rows(&self, content: &Bytes) -> Response<response::Body> {
         let transaction: Transaction = match serde_json::from_slice(content) {
             Ok(transaction) => transaction,
             Err(err) => return response::text(StatusCode::BAD_REQUEST, err.to_string()),
         };
-        let holds = |expected: &Expected| {
+        let is_met = |expected: &Expected| {
             let state = self.state();
             let row = state.rows.get(&(expected.table.clone(), expected.key.clone()));
             let row = row.filter(|row| row.value.is_some());
             row.map_or(0, |row| row.version) == expected.ver
         };
-        if !transaction.expected.iter().all(holds) {
+        if !transaction.expected.iter().all(is_met) {
             return response::json(StatusCode::PRECONDITION_FAILED, &json!({"rows": [], "ver": 0}));
         }
         let mut version = self.state().version;
@@ -293,7 +297,7 @@
             if ["op", "servers"].contains(&write.table.as_str()) {
                 return response::text(StatusCode::FORBIDDEN, "not the system's table");
             }
-            let Some(value) = decode(&write.value) else {
+            let Some(value) = decode_value(&write.value) else {
                 return response::text(StatusCode::BAD_REQUEST, "the value is not base64");
             };
             version = self.put(&write.table, &write.key, value);
@@ -302,7 +306,7 @@
     }
 }
 
-fn show(key: &Key, row: &Row) -> serde_json::Value {
+fn row_json(key: &Key, row: &Row) -> serde_json::Value {
     use base64::Engine;
     let value =
         row.value.as_ref().map(|value| base64::engine::general_purpose::STANDARD.encode(value));
@@ -312,7 +316,7 @@
     })
 }
 
-fn decode(value: &str) -> Option<Vec<u8>> {
+fn decode_value(value: &str) -> Option<Vec<u8>> {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.decode(value).ok()
 }
