--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers on the users' platform, by their published calls: plain ones and engines.
+//! Backend servers on the users' platform, plain servers and engines, with their published API.
 
 use std::{collections, io, net, sync, sync::atomic, time};
 
@@ -12,7 +12,7 @@
 /// One backend server; clones share their state.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Id of its entry.
+    /// Id of its row in the store.
     pub id: String,
     inner: sync::Arc<Inner>,
 }
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     state: sync::Mutex<State>,
-    // Requests that run now.
+    // Number of requests being executed.
     running: atomic::AtomicU64,
     handles: Handles,
 }
@@ -30,24 +30,24 @@
     stage: String,
     address: Option<net::SocketAddr>,
     fault: Fault,
-    // Sends of each attempt that ran here.
+    // Number of runs by attempt id.
     runs: collections::BTreeMap<String, u32>,
     requests: Vec<ReceivedRequest>,
     holds: CreationTimes,
     orders: u64,
     fence: u64,
-    // Starts so far.
+    // Number of restarts.
     born: u64,
-    // Requests that met the fault.
+    // Number of requests received while a fault was set.
     faulted: u64,
 }
 
-/// What engines keep for a request, by name, and since when.
+/// Creation times of holds or prefill results, by name.
 pub type CreationTimes = collections::BTreeMap<String, time::Instant>;
-/// Results of prefills that all engines of a deployment keep, by handle.
+/// Prefill results of all engines of a deployment, by handle.
 pub type Handles = sync::Arc<sync::Mutex<CreationTimes>>;
 
-/// What a request brought.
+/// A request that a server executed.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Path and query.
@@ -58,53 +58,53 @@
     pub body: Bytes,
 }
 
-/// What goes wrong at a server.
+/// Fault of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     /// Nothing.
     #[default]
     None,
-    /// Says that it did not run the request.
+    /// Rejects the request and reports that it was not executed.
     Sheds,
-    /// Runs the request and fails.
+    /// Executes the request and replies with status 500. Engines are not affected.
     Fails,
-    /// Runs the request and never answers.
+    /// Executes the request and sends no response or event.
     Hangs,
-    /// Runs the request and closes the connection without an answer.
+    /// Executes the request and closes the connection without a whole response.
     Resets,
-    /// Answers with another attempt's id.
+    /// Returns the id of another attempt.
     OtherId,
-    /// Answers as another server does that has its address now.
+    /// Replies as another server that now has this address.
     Moved,
-    /// Breaks its stream off within the third event.
+    /// Aborts the stream in the middle of the third event.
     AbortsStream,
-    /// Ends its stream in order, within the third event.
+    /// Ends the stream normally in the middle of the third event.
     TruncatesStream,
-    /// Goes silent after the second event.
+    /// Sends nothing after the second event and keeps the connection open.
     Stalls,
-    /// Stands still for a while after the second event, like a run that was preempted.
+    /// Pauses after the second event, like a preempted run.
     Pauses,
-    /// Leaves an event out.
+    /// Omits the third event.
     SkipsEvent,
-    /// Begins a stream that is resumed from its start.
+    /// Restarts a resumed stream from its first event.
     StartsOver,
-    /// Has no memory to set aside.
+    /// Rejects new holds because its memory is full.
     Full,
-    /// Loses the results of prefills at once.
+    /// Evicts each prefill result at once.
     EvictsResults,
 }
 
-/// Events of each stream.
+/// Number of events in each stream.
 pub const EVENTS: u64 = 6;
-/// Time between two events.
-const EVENT_PAUSE: time::Duration = time::Duration::from_millis(20);
-/// Pause of a preempted run.
-const LONG_PAUSE: time::Duration = time::Duration::from_millis(2_500);
-/// Longer than any time limit of a caller.
-const FOREVER: time::Duration = time::Duration::from_secs(600);
+/// Interval between two events.
+const EVENT_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Duration of [`Fault::Pauses`].
+const PREEMPTION_PAUSE: time::Duration = time::Duration::from_millis(2_500);
+/// Exceeds every timeout of a caller.
+const HANG_TIME: time::Duration = time::Duration::from_secs(600);
 
 impl Backend {
-    /// Makes a server; `stage` is empty for a plain one.
+    /// Creates a server; `stage` is empty for a plain server.
     pub fn new(id: &str, stage: &str, handles: &Handles) -> Backend {
         let inner = Inner { handles: handles.clone(), ..Inner::default() };
         let backend = Backend { id: id.to_string(), inner: sync::Arc::new(inner) };
@@ -128,14 +128,14 @@
         Ok(address)
     }
 
-    /// Where it serves, once it does.
+    /// Address on which it serves; `None` until [`Backend::serve`] has bound it.
     pub fn address(&self) -> Option<net::SocketAddr> {
         self.state().address
     }
 
-    /// Starts again under its id: it holds nothing of before, and counts anew.
+    /// Simulates a restart under the same id: drops all holds and resets the order counter.
     ///
-    /// Its open connections are not its to close; see [`Backend::address`].
+    /// Open connections stay open, and [`Backend::address`] does not change.
     pub fn restart(&self) {
         let mut state = self.state();
         state.holds.clear();
@@ -144,42 +144,42 @@
         state.born += 1;
     }
 
-    /// Moment of its last start, as its entry tells it.
+    /// Number of the current start, published in its row as `born`.
     pub fn born(&self) -> u64 {
         self.state().born + 1
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.state().fault = fault;
     }
 
-    /// Requests that came while something was wrong.
+    /// Number of requests received while a fault was set.
     pub fn faulted(&self) -> u64 {
         self.state().faulted
     }
 
-    /// How often each attempt ran here.
+    /// Number of runs by attempt id.
     pub fn runs(&self) -> collections::BTreeMap<String, u32> {
         self.state().runs.clone()
     }
 
-    /// Requests that ran here.
+    /// Requests executed here, without prefills.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.state().requests.clone()
     }
 
-    /// Requests that run now.
+    /// Number of requests being executed.
     pub fn running(&self) -> u64 {
         self.inner.running.load(atomic::Ordering::Relaxed)
     }
 
-    /// Holds that were taken since `oldest` and not given back.
+    /// Number of open holds created at or after `oldest`, or of all open holds.
     pub fn hold_count(&self, oldest: Option<time::Instant>) -> usize {
         count_since(&self.state().holds, oldest)
     }
 
-    /// Stage, and orders accepted.
+    /// Current stage and the number of accepted orders.
     pub fn stage(&self) -> (String, u64) {
         let state = self.state();
         (state.stage.clone(), state.orders)
@@ -197,18 +197,18 @@
             state.faulted += u64::from(state.fault != Fault::None);
             state.fault
         };
-        let expected = text(&parts.headers, "x-expect-instance");
+        let expected = header_text(&parts.headers, "x-expect-instance");
         if fault == Fault::Moved || (!expected.is_empty() && expected != self.id) {
-            let mut moved = response::text(StatusCode::MISDIRECTED_REQUEST, "");
-            moved.headers_mut().insert("x-instance-id", value("i-other"));
-            return moved;
+            let mut reply = response::text(StatusCode::MISDIRECTED_REQUEST, "");
+            reply.headers_mut().insert("x-instance-id", header_value("i-other"));
+            return reply;
         }
         let path = parts.uri.path().to_string();
         match (&parts.method, path.as_str()) {
-            (&Method::POST, "/v1/hold-take") => self.take_hold(fault),
+            (&Method::POST, "/v1/hold-take") => self.create_hold(fault),
             (&Method::GET, "/v1/report") => self.report(),
             (&Method::POST, "/v1/order") => self.order(&content),
-            (&Method::DELETE, _) if path.starts_with("/v1/") => self.free(&path),
+            (&Method::DELETE, _) if path.starts_with("/v1/") => self.release(&path),
             _ => {
                 let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
                 self.run(target, &parts.headers, content, fault).await
@@ -216,9 +216,9 @@
         }
     }
 
-    fn take_hold(&self, fault: Fault) -> Response<response::Body> {
+    fn create_hold(&self, fault: Fault) -> Response<response::Body> {
         if fault == Fault::Full {
-            return shed();
+            return shed_response();
         }
         let mut state = self.state();
         let hold = format!("hold-{}-{}", self.id, state.holds.len() + state.requests.len());
@@ -226,13 +226,13 @@
         response::json(StatusCode::OK, &json!({"hold": hold}))
     }
 
-    fn free(&self, path: &str) -> Response<response::Body> {
+    fn release(&self, path: &str) -> Response<response::Body> {
         let name = path.rsplit('/').next().unwrap_or_default();
-        let is_known = self.state().holds.remove(name).is_some() || self.take_handle(name);
+        let is_known = self.state().holds.remove(name).is_some() || self.remove_handle(name);
         response::text(if is_known { StatusCode::OK } else { StatusCode::NOT_FOUND }, "")
     }
 
-    fn take_handle(&self, handle: &str) -> bool {
+    fn remove_handle(&self, handle: &str) -> bool {
         locks::lock(&self.inner.handles).remove(handle).is_some()
     }
 
@@ -271,18 +271,18 @@
         fault: Fault,
     ) -> Response<response::Body> {
         if fault == Fault::Sheds {
-            return shed();
+            return shed_response();
         }
-        if text(headers, "x-stage") == "prefill" {
+        if header_text(headers, "x-stage") == "prefill" {
             return self.prefill(headers, fault).await;
         }
-        self.state().holds.remove(&text(headers, "x-kv-hold"));
-        let source = text(headers, "x-kv-source");
+        self.state().holds.remove(&header_text(headers, "x-kv-hold"));
+        let source = header_text(headers, "x-kv-source");
         let handle = source.split_once('/').map(|(_, handle)| handle);
-        if handle.is_some_and(|handle| !self.take_handle(handle)) {
-            return shed();
+        if handle.is_some_and(|handle| !self.remove_handle(handle)) {
+            return shed_response();
         }
-        let attempt = text(headers, "x-attempt-id");
+        let attempt = header_text(headers, "x-attempt-id");
         {
             let mut state = self.state();
             *state.runs.entry(attempt.clone()).or_default() += 1;
@@ -298,15 +298,17 @@
 
     async fn prefill(&self, headers: &HeaderMap, fault: Fault) -> Response<response::Body> {
         if fault == Fault::Hangs {
-            tokio::time::sleep(FOREVER).await;
+            tokio::time::sleep(HANG_TIME).await;
         }
-        let handle = format!("kv-{}-{}", self.id, text(headers, "x-attempt-id"));
+        let handle = format!("kv-{}-{}", self.id, header_text(headers, "x-attempt-id"));
         if fault != Fault::EvictsResults {
             locks::lock(&self.inner.handles).insert(handle.clone(), time::Instant::now());
         }
         let reply = json!({"handle": handle, "tokens": 100, "version": 1});
         let mut reply = response::json(StatusCode::OK, &reply);
-        reply.headers_mut().insert("x-attempt-id", value(&text(headers, "x-attempt-id")));
+        reply
+            .headers_mut()
+            .insert("x-attempt-id", header_value(&header_text(headers, "x-attempt-id")));
         reply
     }
 
@@ -319,10 +321,10 @@
         let _running = Running::new(&self.inner);
         let status = match fault {
             Fault::Hangs => {
-                tokio::time::sleep(FOREVER).await;
+                tokio::time::sleep(HANG_TIME).await;
                 StatusCode::OK
             }
-            Fault::Resets => return broken(),
+            Fault::Resets => return reset_response(),
             Fault::Fails => StatusCode::INTERNAL_SERVER_ERROR,
             _ => StatusCode::OK,
         };
@@ -332,7 +334,7 @@
     }
 
     fn stream(&self, attempt: &str, headers: &HeaderMap, fault: Fault) -> Response<response::Body> {
-        let last = text(headers, "last-event-id").parse().ok();
+        let last = header_text(headers, "last-event-id").parse().ok();
         let last: Option<u64> = last.filter(|_| fault != Fault::StartsOver);
         let first = last.map_or(0, |last| last + 1);
         let (sender, receiver) = mpsc::channel(1);
@@ -346,33 +348,33 @@
         });
         let mut reply = Response::new(response::stream(receiver));
         seal(reply.headers_mut(), attempt);
-        reply.headers_mut().insert(header::CONTENT_TYPE, value("text/event-stream"));
+        reply.headers_mut().insert(header::CONTENT_TYPE, header_value("text/event-stream"));
         reply
     }
 }
 
-/// Number of things that are kept since `oldest`, or at all.
-pub fn count_since(kept: &CreationTimes, oldest: Option<time::Instant>) -> usize {
-    kept.values().filter(|since| oldest.is_none_or(|oldest| **since >= oldest)).count()
+/// Number of items created at or after `oldest`, or of all items.
+pub fn count_since(created: &CreationTimes, oldest: Option<time::Instant>) -> usize {
+    created.values().filter(|at| oldest.is_none_or(|oldest| **at >= oldest)).count()
 }
 
 async fn send_events(sender: &mpsc::Sender<io::Result<Bytes>>, first: u64, fault: Fault) {
     for number in first..EVENTS {
-        tokio::time::sleep(EVENT_PAUSE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
         let event = format!("id: {number}\ndata: token-{number}\n\n");
-        let piece = match fault {
-            Fault::Hangs => return tokio::time::sleep(FOREVER).await,
+        let chunk = match fault {
+            Fault::Hangs => return tokio::time::sleep(HANG_TIME).await,
             Fault::Resets => return drop(sender.send(Err(io::Error::other("reset"))).await),
             Fault::AbortsStream | Fault::TruncatesStream if number == 2 => event[..9].to_string(),
-            Fault::Stalls if number == 2 => return tokio::time::sleep(FOREVER).await,
+            Fault::Stalls if number == 2 => return tokio::time::sleep(HANG_TIME).await,
             Fault::Pauses if number == 2 => {
-                tokio::time::sleep(LONG_PAUSE).await;
+                tokio::time::sleep(PREEMPTION_PAUSE).await;
                 event
             }
             Fault::SkipsEvent if number == 2 => continue,
             _ => event,
         };
-        if sender.send(Ok(piece.into())).await.is_err() {
+        if sender.send(Ok(chunk.into())).await.is_err() {
             return;
         }
         match fault {
@@ -385,7 +387,7 @@
     }
 }
 
-// Counts a request while it runs.
+// Counts a request as running until dropped.
 struct Running(sync::Arc<Inner>);
 
 impl Running {
@@ -401,29 +403,29 @@
     }
 }
 
-fn shed() -> Response<response::Body> {
-    let mut shed = response::text(StatusCode::SERVICE_UNAVAILABLE, "");
-    shed.headers_mut().insert("x-not-executed", value("1"));
-    shed
+fn shed_response() -> Response<response::Body> {
+    let mut reply = response::text(StatusCode::SERVICE_UNAVAILABLE, "");
+    reply.headers_mut().insert("x-not-executed", header_value("1"));
+    reply
 }
 
-fn broken() -> Response<response::Body> {
+fn reset_response() -> Response<response::Body> {
     let (sender, receiver) = mpsc::channel(1);
     let _ = sender.try_send(Err(io::Error::other("reset")));
     Response::new(response::stream(receiver))
 }
 
 fn seal(headers: &mut HeaderMap, attempt: &str) {
-    headers.insert("x-response-seal", value("seal"));
-    headers.insert("x-attempt-id", value(attempt));
-    headers.insert("x-server-load", value("1,0,6"));
+    headers.insert("x-response-seal", header_value("seal"));
+    headers.insert("x-attempt-id", header_value(attempt));
+    headers.insert("x-server-load", header_value("1,0,6"));
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
-    let found = headers.get(name).and_then(|value| value.to_str().ok());
-    found.unwrap_or_default().to_string()
+fn header_text(headers: &HeaderMap, name: &str) -> String {
+    let value = headers.get(name).and_then(|value| value.to_str().ok());
+    value.unwrap_or_default().to_string()
 }
 
-fn value(text: &str) -> header::HeaderValue {
+fn header_value(text: &str) -> header::HeaderValue {
     header::HeaderValue::from_str(text).unwrap_or(header::HeaderValue::from_static(""))
 }
