--- a/crates/fakes/src/instances.rs
+++ b/crates/fakes/src/instances.rs
@@ -1,4 +1,4 @@
-//! Instance list that shows changes after a lag.
+//! Stand-in for the instance list, whose changes become visible after a delay.
 
 use std::{collections, sync, time};
 
@@ -8,7 +8,7 @@
 
 use rhubarb_node::{clock, instances, locks, response};
 
-/// Instance list.
+/// The instance list.
 #[derive(Debug)]
 pub struct Instances {
     lag: time::Duration,
@@ -17,13 +17,14 @@
 
 #[derive(Debug)]
 struct Change {
-    shown_at: time::Instant,
+    visible_at: time::Instant,
     name: String,
+    // `None` removes the instance.
     instance: Option<instances::Instance>,
 }
 
 impl Instances {
-    /// Makes an empty list that shows changes after `lag`.
+    /// Creates an empty list whose changes become visible after `lag`.
     pub fn new(lag: time::Duration) -> Instances {
         Instances { lag, changes: sync::Mutex::new(Vec::new()) }
     }
@@ -31,7 +32,7 @@
     /// Answers a call; `name` is empty for the whole list.
     pub fn call(&self, method: &Method, name: &str, body: &Bytes) -> Response<response::Body> {
         match *method {
-            Method::GET => response::json(StatusCode::OK, &json!(self.shown())),
+            Method::GET => response::json(StatusCode::OK, &json!(self.visible())),
             Method::PUT => match serde_json::from_slice(body) {
                 Ok(instance) => self.change(name, Some(instance)),
                 Err(err) => response::text(StatusCode::BAD_REQUEST, err.to_string()),
@@ -47,21 +48,21 @@
         instance: Option<instances::Instance>,
     ) -> Response<response::Body> {
         let mut changes = locks::lock(&self.changes);
-        let shown_at = clock::now() + self.lag;
-        changes.push(Change { shown_at, name: name.to_string(), instance });
+        let visible_at = clock::now() + self.lag;
+        changes.push(Change { visible_at, name: name.to_string(), instance });
         response::text(StatusCode::OK, "noted")
     }
 
-    fn shown(&self) -> Vec<instances::Instance> {
+    fn visible(&self) -> Vec<instances::Instance> {
         let now = clock::now();
         let changes = locks::lock(&self.changes);
-        let mut shown = collections::BTreeMap::new();
-        for change in changes.iter().filter(|change| change.shown_at <= now) {
+        let mut visible = collections::BTreeMap::new();
+        for change in changes.iter().filter(|change| change.visible_at <= now) {
             match &change.instance {
-                Some(instance) => shown.insert(&change.name, instance.clone()),
-                None => shown.remove(&change.name),
+                Some(instance) => visible.insert(&change.name, instance.clone()),
+                None => visible.remove(&change.name),
             };
         }
-        shown.into_values().collect()
+        visible.into_values().collect()
     }
 }
