--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,4 +1,4 @@
-//! Object store.
+//! Stand-in for the object store.
 
 use std::{collections, sync};
 
@@ -8,14 +8,16 @@
 
 use rhubarb_node::{locks, response};
 
-/// Object store.
+/// The object store.
 #[derive(Debug, Default)]
 pub struct Objects {
     objects: sync::Mutex<collections::BTreeMap<String, Bytes>>,
 }
 
 impl Objects {
-    /// Answers a call for the object `name`; an empty name lists those with the prefix `query`.
+    /// Answers a call for the object `name`.
+    ///
+    /// An empty name lists all objects, or those with a prefix if `query` is `prefix=PREFIX`.
     pub fn call(
         &self,
         method: &Method,
