--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,4 +1,4 @@
-//! Table service: rows with versions, conditional writes and transactions.
+//! Stand-in for the table service: versioned rows, conditional writes and transactions.
 
 use std::{collections, sync, time};
 
@@ -9,7 +9,7 @@
 
 use rhubarb_node::{clock, locks, response, table};
 
-/// Table service.
+/// The table service.
 #[derive(Debug, Default)]
 pub struct Table {
     state: sync::Mutex<State>,
@@ -18,6 +18,7 @@
 #[derive(Debug, Default)]
 struct State {
     rows: collections::BTreeMap<String, table::Row>,
+    // Start of the second in which calls are counted.
     window: Option<time::Instant>,
     reads: u32,
     writes: u32,
@@ -31,11 +32,11 @@
     value: String,
 }
 
-const READS_A_SECOND: u32 = 2000;
-const WRITES_A_SECOND: u32 = 400;
+const READS_PER_SECOND: u32 = 2000;
+const WRITES_PER_SECOND: u32 = 400;
 
 impl Table {
-    /// Answers a read of the row `key`, or a transaction.
+    /// Answers a read of the row `key`, or a transaction over any rows.
     pub fn call(&self, method: &Method, key: &str, body: &Bytes) -> Response<response::Body> {
         let mut state = locks::lock(&self.state);
         if !state.admit(method) {
@@ -53,6 +54,7 @@
 }
 
 impl State {
+    // Counts a call and returns whether it is within the rate limit.
     fn admit(&mut self, method: &Method) -> bool {
         let now = clock::now();
         if self.window.is_none_or(|start| now >= start + time::Duration::from_secs(1)) {
@@ -62,10 +64,10 @@
         }
         if method == Method::GET {
             self.reads += 1;
-            self.reads <= READS_A_SECOND
+            self.reads <= READS_PER_SECOND
         } else {
             self.writes += 1;
-            self.writes <= WRITES_A_SECOND
+            self.writes <= WRITES_PER_SECOND
         }
     }
 
@@ -76,7 +78,7 @@
         }
     }
 
-    // All writes take effect, or none.
+    // Applies all writes, or none if an expected version does not match.
     fn write_all(&mut self, writes: Vec<Write>) -> Response<response::Body> {
         for write in &writes {
             let version = self.rows.get(&write.key).map_or(0, |row| row.version);
