--- a/crates/fakes/src/tokens.rs
+++ b/crates/fakes/src/tokens.rs
@@ -1,9 +1,9 @@
-//! Tokens of the fake model: a pure function of the prompt.
+//! Output of the simulated model, a pure function of the prompt.
 
 use std::hash::{Hash, Hasher};
 
-const LEAST_TOKENS: u64 = 8;
-const SPREAD_TOKENS: u64 = 24;
+const MIN_TOKENS: u64 = 8;
+const TOKEN_SPREAD: u64 = 24;
 const CHARS_PER_TOKEN: usize = 4;
 
 fn hash(prompt: &str, salt: u64) -> u64 {
@@ -13,26 +13,26 @@
     hasher.finish()
 }
 
-/// Token number `index` of the answer to `prompt`.
+/// Token `index` of the answer to `prompt`, counted from 0.
 pub fn token(prompt: &str, index: u32) -> String {
     format!("w{:05x} ", hash(prompt, u64::from(index) + 1) & 0xf_ffff)
 }
 
-/// Number of tokens of the answer; a prompt that starts with `long ` gets all it may have.
+/// Number of tokens of the answer; `max_tokens` if the prompt starts with `long `.
 pub fn length(prompt: &str, max_tokens: u32) -> u32 {
     if prompt.starts_with("long ") {
         return max_tokens;
     }
-    let natural = LEAST_TOKENS + hash(prompt, 0) % SPREAD_TOKENS;
-    max_tokens.min(natural as u32)
+    let drawn = MIN_TOKENS + hash(prompt, 0) % TOKEN_SPREAD;
+    max_tokens.min(drawn as u32)
 }
 
-/// Whole answer to `prompt`.
+/// Complete answer to `prompt`.
 pub fn answer(prompt: &str, max_tokens: u32) -> String {
     (0..length(prompt, max_tokens)).map(|index| token(prompt, index)).collect()
 }
 
-/// Number of tokens of a prompt.
+/// Number of tokens in a prompt.
 pub fn prompt_tokens(prompt: &str) -> u32 {
     prompt.len().div_ceil(CHARS_PER_TOKEN) as u32
 }
