--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,13 +1,13 @@
 //! Stand-ins for the platform's services and the backend servers, for tests and the demo.
 //!
-//! All stand-ins of a deployment live in one process and are told apart by their paths. They
-//! keep everything in memory and lose it when the process ends.
+//! All stand-ins of a deployment run in one process and are addressed by path. Their state is kept
+//! in memory and lost when the process ends.
 //!
 //! ```
 //! use rhubarb_fakes::tokens;
 //!
-//! let whole = tokens::answer("grade lot 7", 8);
-//! assert_eq!(whole, tokens::answer("grade lot 7", 8));
+//! let answer = tokens::answer("grade lot 7", 8);
+//! assert_eq!(answer, tokens::answer("grade lot 7", 8));
 //! ```
 
 pub mod backend;
