--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -9,8 +9,8 @@
 
 struct Options {
     listen: net::SocketAddr,
-    lag: u64,
-    weight: u64,
+    lag_ms: u64,
+    weight_ms: u64,
 }
 
 fn options() -> bpaf::OptionParser<Options> {
@@ -18,15 +18,15 @@
         .help("Address to listen on")
         .argument::<net::SocketAddr>("IP:PORT")
         .fallback(([127, 0, 0, 1], 0).into());
-    let lag = bpaf::long("list-lag-ms")
+    let lag_ms = bpaf::long("list-lag-ms")
         .help("Lag of the instance list in milliseconds")
         .argument::<u64>("MS")
         .fallback(200);
-    let weight = bpaf::long("weight-ms")
+    let weight_ms = bpaf::long("weight-ms")
         .help("Time to fetch weights in milliseconds")
         .argument::<u64>("MS")
         .fallback(50);
-    bpaf::construct!(Options { listen, lag, weight })
+    bpaf::construct!(Options { listen, lag_ms, weight_ms })
         .to_options()
         .descr("Stand-ins for the platform and the backend servers")
 }
@@ -37,8 +37,8 @@
     let listener = server::bind(options.listen).await?;
     let address = listener.local_addr()?;
     let delays = routes::Delays {
-        list_lag: time::Duration::from_millis(options.lag),
-        weight_time: time::Duration::from_millis(options.weight),
+        list_lag: time::Duration::from_millis(options.lag_ms),
+        weight_time: time::Duration::from_millis(options.weight_ms),
     };
     let fakes = sync::Arc::new(routes::Fakes::new(address, delays));
     println!("listening http={address}");
