--- a/crates/soak/src/hands.rs
+++ b/crates/soak/src/injector.rs
@@ -11,7 +11,7 @@
 
 /// A deployment and what has been done to it.
 #[derive(Debug)]
-pub(crate) struct Hands {
+pub(crate) struct Injector {
     pub(crate) site: standin::Site,
     pub(crate) shared: sync::Arc<callers::Shared>,
     pub(crate) broken: Vec<check::Broken>,
@@ -25,7 +25,7 @@
 /// Time in which an entry that goes on again settles what came meanwhile.
 const SETTLE: time::Duration = time::Duration::from_millis(500);
 
-impl Hands {
+impl Injector {
     /// Carries out one change.
     pub(crate) async fn apply(&mut self, change: plan::Change) -> anyhow::Result<()> {
         match change {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod soak;
 
 mod callers;
-mod hands;
+mod injector;
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -5,7 +5,7 @@
 use rhubarb_e2e::{edge, standin};
 use rhubarb_node::client;
 
-use crate::{callers, check, hands, plan, record};
+use crate::{callers, check, injector, plan, record};
 
 /// What came of a soak.
 #[derive(Debug)]
@@ -56,29 +56,29 @@
         let shared = shared.clone();
         tokio::spawn(callers::observe(shared, edge))
     }));
-    let mut hands = hands::Hands { site, shared: shared.clone(), broken: Vec::new() };
+    let mut injector = injector::Injector { site, shared: shared.clone(), broken: Vec::new() };
     let start = tokio::time::Instant::now();
     for step in &plan.steps {
         tokio::time::sleep_until(start + step.at).await;
-        hands.apply(step.change).await?;
+        injector.apply(step.change).await?;
     }
-    hands.heal().await?;
-    wait_recovered(&mut hands).await;
+    injector.heal().await?;
+    wait_recovered(&mut injector).await;
     shared.stopped.store(true, atomic::Ordering::Relaxed);
     for task in tasks {
         task.await?;
     }
-    wait_free(&mut hands).await;
-    Ok(report(hands))
+    wait_free(&mut injector).await;
+    Ok(report(injector))
 }
 
-async fn wait_recovered(hands: &mut hands::Hands) {
+async fn wait_recovered(injector: &mut injector::Injector) {
     let until = time::Instant::now() + RECOVER;
-    for edge in 0..hands.site.edges.len() {
-        while let Err(seen) = is_well(hands, edge).await {
+    for edge in 0..injector.site.edges.len() {
+        while let Err(seen) = is_well(injector, edge).await {
             if time::Instant::now() >= until {
                 let promise = check::Promise::Recovered;
-                hands.broken.push(check::Broken { promise, seen });
+                injector.broken.push(check::Broken { promise, seen });
                 break;
             }
             tokio::time::sleep(STEP).await;
@@ -87,25 +87,25 @@
 }
 
 // Whether an entry is ready, has the newest config, and serves each kind of request.
-async fn is_well(hands: &hands::Hands, edge: usize) -> Result<(), String> {
-    if !hands.site.edges[edge].is_ready().await {
+async fn is_well(injector: &injector::Injector, edge: usize) -> Result<(), String> {
+    if !injector.site.edges[edge].is_ready().await {
         return Err(format!("entry {edge} is not ready"));
     }
     let client = client::Client::new();
-    let version = hands.shared.version.load(atomic::Ordering::Relaxed);
-    let sight = callers::look(&hands.shared, &client, edge, version).await;
+    let version = injector.shared.version.load(atomic::Ordering::Relaxed);
+    let sight = callers::look(&injector.shared, &client, edge, version).await;
     if !sight.is_some_and(|sight| sight.in_force) {
         return Err(format!("entry {edge} does not have version {version}"));
     }
     for kind in record::KINDS {
-        let record = callers::call(&hands.shared, &client, edge, kind).await;
+        let record = callers::call(&injector.shared, &client, edge, kind).await;
         let is_served = match &record.end {
             record::End::Answer(reply) => reply.status == 200,
             record::End::Left => true,
             _ => false,
         };
         let seen = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
-        hands.shared.log().records.push(record);
+        injector.shared.log().records.push(record);
         if !is_served {
             return Err(seen);
         }
@@ -113,27 +113,27 @@
     Ok(())
 }
 
-async fn wait_free(hands: &mut hands::Hands) {
+async fn wait_free(injector: &mut injector::Injector) {
     let until = time::Instant::now() + FREE_LIMIT;
-    while hands.site.kept_lastingly() > 0 {
+    while injector.site.kept_lastingly() > 0 {
         if time::Instant::now() >= until {
-            let seen = format!("{} pieces of engine memory", hands.site.kept_lastingly());
-            hands.broken.push(check::Broken { promise: check::Promise::Kept, seen });
+            let seen = format!("{} pieces of engine memory", injector.site.kept_lastingly());
+            injector.broken.push(check::Broken { promise: check::Promise::Kept, seen });
             return;
         }
         tokio::time::sleep(STEP).await;
     }
 }
 
-fn report(hands: hands::Hands) -> Report {
+fn report(injector: injector::Injector) -> Report {
     let mut runs = check::Runs::new();
-    for server in hands.site.servers() {
+    for server in injector.site.servers() {
         for (attempt, count) in server.runs() {
             *runs.entry(attempt).or_default() += count;
         }
     }
-    let log = hands.shared.log();
-    let mut broken = hands.broken;
+    let log = injector.shared.log();
+    let mut broken = injector.broken;
     broken.extend(check::check(&log, &runs));
     let replies = log.records.iter().filter_map(|record| match &record.end {
         record::End::Answer(reply) => Some(reply),
@@ -141,7 +141,7 @@
     });
     let logs = match broken.is_empty() {
         true => Vec::new(),
-        false => hands.site.edges.iter().map(edge::Edge::log).collect(),
+        false => injector.site.edges.iter().map(edge::Edge::log).collect(),
     };
     Report {
         requests: log.records.len(),
