--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -8,41 +8,41 @@
 
 /// A promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// A request that may not be repeated runs at most once, others at most as often as allowed.
-    Runs,
+    RunCount,
     /// A refusal that says that nothing ran is true.
     NotRun,
     /// Such a refusal tells when to come back.
-    ComeBack,
+    RetryAfter,
     /// An answer is the caller's own, and whole or visibly broken off.
-    Whole,
+    Intact,
     /// An entry that is well answers each request.
     Answered,
     /// It does so in time.
-    InTime,
+    Deadline,
     /// An entry that is told to stop ends what it has begun, and then ends well.
-    Stop,
+    GracefulStop,
     /// A config that was in force stays so.
-    Undone,
+    NoRollback,
     /// All is as before soon after the last fault.
     Recovered,
     /// Nothing is kept at an engine for a request that has ended.
-    Kept,
+    NoLeak,
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    /// Which one.
-    pub promise: Promise,
-    /// What was seen.
-    pub seen: String,
+pub struct Violation {
+    /// Violated invariant.
+    pub invariant: Invariant,
+    /// What was observed.
+    pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.seen)
+        write!(f, "{:?}: {}", self.invariant, self.detail)
     }
 }
 
@@ -55,37 +55,38 @@
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
 /// Checks all requests and looks.
-pub fn check(log: &record::Log, runs: &Runs) -> Vec<Broken> {
-    let mut broken = Vec::new();
+pub fn check(log: &record::Log, runs: &Runs) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for record in &log.records {
-        broken.extend(check_runs(record, runs));
+        violations.extend(check_runs(record, runs));
         match &record.end {
-            record::End::Answer(reply) => broken.extend(check_answer(log, record, reply, runs)),
+            record::End::Answer(reply) => violations.extend(check_answer(log, record, reply, runs)),
             record::End::Unreachable | record::End::Broken(_) => {
-                broken.extend(check_unanswered(log, record));
+                violations.extend(check_unanswered(log, record));
             }
             record::End::Left => {}
         }
     }
-    broken.extend(check_sights(log));
-    broken
+    violations.extend(check_sights(log));
+    violations
 }
 
-fn found(promise: Promise, record: &record::Record, what: &str) -> Broken {
+fn violation(invariant: Invariant, record: &record::Record, what: &str) -> Violation {
     let record::Record { attempt, kind, edge, end, .. } = record;
     let taken = record.ended - record.began;
     let end = match end {
         record::End::Answer(reply) => format!("{} {:?}", reply.status, reply.body),
         other => format!("{other:?}"),
     };
-    let seen = format!("{attempt} ({kind:?}) at entry {edge}, {taken:?}: {what}; {end}");
-    Broken { promise, seen }
+    let detail = format!("{attempt} ({kind:?}) at entry {edge}, {taken:?}: {what}; {end}");
+    Violation { invariant, detail }
 }
 
-fn check_runs(record: &record::Record, runs: &Runs) -> Option<Broken> {
+fn check_runs(record: &record::Record, runs: &Runs) -> Option<Violation> {
     let ran = runs.get(&record.attempt).copied().unwrap_or(0);
     let most = record.kind.most_runs();
-    (ran > most).then(|| found(Promise::Runs, record, &format!("ran {ran} times, not {most}")))
+    (ran > most)
+        .then(|| violation(Invariant::RunCount, record, &format!("ran {ran} times, not {most}")))
 }
 
 fn check_answer(
@@ -93,14 +94,14 @@
     record: &record::Record,
     reply: &call::Reply,
     runs: &Runs,
-) -> Vec<Broken> {
-    let mut broken = Vec::new();
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
     let is_refusal = reply.is_own() && NOT_RUN.contains(&reply.status);
     if is_refusal && runs.contains_key(&record.attempt) {
-        broken.push(found(Promise::NotRun, record, "it ran"));
+        violations.push(violation(Invariant::NotRun, record, "it ran"));
     }
     if is_refusal && !reply.headers.contains_key(hyper::header::RETRY_AFTER) {
-        broken.push(found(Promise::ComeBack, record, "no time to come back"));
+        violations.push(violation(Invariant::RetryAfter, record, "no time to come back"));
     }
     let body = format!("body of {}", record.attempt);
     let is_whole = reply.body.as_ref() == Some(&record.kind.whole(&body));
@@ -108,12 +109,16 @@
     // A stream may be broken off, so that its caller sees it; a plain answer is passed whole.
     let may_break = !is_plain || is_in_trouble(log, record);
     if reply.status == 200 && !is_whole && !(reply.body.is_none() && may_break) {
-        broken.push(found(Promise::Whole, record, "not the whole answer to this request"));
+        violations.push(violation(
+            Invariant::Intact,
+            record,
+            "not the whole answer to this request",
+        ));
     }
     if reply.taken > record.kind.limit() + SLACK && !is_in_trouble(log, record) {
-        broken.push(found(Promise::InTime, record, "too late"));
+        violations.push(violation(Invariant::Deadline, record, "too late"));
     }
-    broken
+    violations
 }
 
 fn is_in_trouble(log: &record::Log, record: &record::Record) -> bool {
@@ -121,7 +126,7 @@
 }
 
 // A stop excuses only requests that were sent after it, and may reach a listener that is gone.
-fn check_unanswered(log: &record::Log, record: &record::Record) -> Option<Broken> {
+fn check_unanswered(log: &record::Log, record: &record::Record) -> Option<Violation> {
     let mut windows = log.windows.iter().filter(|window| window.meets(record));
     let is_excused = windows.clone().any(|window| window.trouble != record::Trouble::Stopped);
     let was_before = |window: &record::Window| record.began < window.from;
@@ -129,15 +134,15 @@
         return None;
     }
     if windows.clone().any(was_before) {
-        return Some(found(Promise::Stop, record, "cut by a planned stop"));
+        return Some(violation(Invariant::GracefulStop, record, "cut by a planned stop"));
     }
-    windows.next().is_none().then(|| found(Promise::Answered, record, "no answer"))
+    windows.next().is_none().then(|| violation(Invariant::Answered, record, "no answer"))
 }
 
-fn check_sights(log: &record::Log) -> Vec<Broken> {
+fn check_sights(log: &record::Log) -> Vec<Violation> {
     let mut newest: collections::BTreeMap<usize, (time::Instant, u64)> =
         collections::BTreeMap::new();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for sight in &log.sights {
         let known = newest.get(&sight.edge).copied();
         if sight.in_force {
@@ -159,11 +164,11 @@
             newest.remove(&sight.edge);
             continue;
         }
-        let seen = format!(
+        let detail = format!(
             "entry {}: version {version} was in force, {} is not",
             sight.edge, sight.version
         );
-        broken.push(Broken { promise: Promise::Undone, seen });
+        violations.push(Violation { invariant: Invariant::NoRollback, detail });
     }
-    broken
+    violations
 }
--- a/crates/soak/src/injector.rs
+++ b/crates/soak/src/injector.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Injector {
     pub(crate) site: standin::Site,
     pub(crate) shared: sync::Arc<callers::Shared>,
-    pub(crate) broken: Vec<check::Broken>,
+    pub(crate) violations: Vec<check::Violation>,
 }
 
 /// The longest that an entry may take to stop: its grace of 8 s.
@@ -115,7 +115,7 @@
     async fn wait_stop(&mut self, edge: usize) {
         let until = time::Instant::now() + STOP_LIMIT;
         loop {
-            let seen = match self.site.edges[edge].exit_code() {
+            let detail = match self.site.edges[edge].exit_code() {
                 Some(0) => return,
                 Some(code) => format!("entry {edge} ended with {code} when told to stop"),
                 None if time::Instant::now() < until => {
@@ -124,7 +124,8 @@
                 }
                 None => format!("entry {edge} did not stop"),
             };
-            self.broken.push(check::Broken { promise: check::Promise::Stop, seen });
+            self.violations
+                .push(check::Violation { invariant: check::Invariant::GracefulStop, detail });
             return;
         }
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -45,7 +45,7 @@
         let plan = plan::Plan::draw(seed, time::Duration::from_secs(options.seconds));
         let report = soak::play(&plan).await?;
         println!("seed {seed}: {report}");
-        if !report.broken.is_empty() {
+        if !report.violations.is_empty() {
             failed.push(seed);
             keep(&options.keep, &plan, &report)?;
         }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -17,17 +17,17 @@
     /// Those that were refused as not run.
     pub refused: usize,
     /// Promises that were broken.
-    pub broken: Vec<check::Broken>,
+    pub violations: Vec<check::Violation>,
     /// Logs of the entries, if a promise was broken.
     pub logs: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Report { requests, answered, refused, broken, .. } = self;
+        let Report { requests, answered, refused, violations, .. } = self;
         write!(f, "{requests} requests, {answered} answered, {refused} refused")?;
-        write!(f, ", {} promises broken", broken.len())?;
-        broken.iter().try_for_each(|broken| write!(f, "\n  {broken}"))
+        write!(f, ", {} promises broken", violations.len())?;
+        violations.iter().try_for_each(|violation| write!(f, "\n  {violation}"))
     }
 }
 
@@ -56,7 +56,7 @@
         let shared = shared.clone();
         tokio::spawn(callers::observe(shared, edge))
     }));
-    let mut injector = injector::Injector { site, shared: shared.clone(), broken: Vec::new() };
+    let mut injector = injector::Injector { site, shared: shared.clone(), violations: Vec::new() };
     let start = tokio::time::Instant::now();
     for step in &plan.steps {
         tokio::time::sleep_until(start + step.at).await;
@@ -75,10 +75,10 @@
 async fn wait_recovered(injector: &mut injector::Injector) {
     let until = time::Instant::now() + RECOVER;
     for edge in 0..injector.site.edges.len() {
-        while let Err(seen) = is_well(injector, edge).await {
+        while let Err(detail) = is_well(injector, edge).await {
             if time::Instant::now() >= until {
-                let promise = check::Promise::Recovered;
-                injector.broken.push(check::Broken { promise, seen });
+                let invariant = check::Invariant::Recovered;
+                injector.violations.push(check::Violation { invariant, detail });
                 break;
             }
             tokio::time::sleep(STEP).await;
@@ -104,10 +104,10 @@
             record::End::Left => true,
             _ => false,
         };
-        let seen = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
+        let detail = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
         injector.shared.log().records.push(record);
         if !is_served {
-            return Err(seen);
+            return Err(detail);
         }
     }
     Ok(())
@@ -117,8 +117,10 @@
     let until = time::Instant::now() + FREE_LIMIT;
     while injector.site.kept_lastingly() > 0 {
         if time::Instant::now() >= until {
-            let seen = format!("{} pieces of engine memory", injector.site.kept_lastingly());
-            injector.broken.push(check::Broken { promise: check::Promise::Kept, seen });
+            let detail = format!("{} pieces of engine memory", injector.site.kept_lastingly());
+            injector
+                .violations
+                .push(check::Violation { invariant: check::Invariant::NoLeak, detail });
             return;
         }
         tokio::time::sleep(STEP).await;
@@ -133,13 +135,13 @@
         }
     }
     let log = injector.shared.log();
-    let mut broken = injector.broken;
-    broken.extend(check::check(&log, &runs));
+    let mut violations = injector.violations;
+    violations.extend(check::check(&log, &runs));
     let replies = log.records.iter().filter_map(|record| match &record.end {
         record::End::Answer(reply) => Some(reply),
         _ => None,
     });
-    let logs = match broken.is_empty() {
+    let logs = match violations.is_empty() {
         true => Vec::new(),
         false => injector.site.edges.iter().map(edge::Edge::log).collect(),
     };
@@ -147,7 +149,7 @@
         requests: log.records.len(),
         answered: replies.clone().filter(|reply| !reply.is_own()).count(),
         refused: replies.filter(|reply| reply.is_own() && reply.status == 503).count(),
-        broken,
+        violations,
         logs,
     }
 }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -7,7 +7,7 @@
 use rhubarb_e2e::{call, standin};
 use rhubarb_soak::{check, record};
 
-use check::Promise;
+use check::Invariant;
 use record::{End, Kind, Trouble};
 
 fn reply(status: u16, is_own: bool, body: Option<&str>) -> call::Reply {
@@ -31,13 +31,13 @@
     record::Record { attempt: "a1".to_string(), kind, edge: 0, began, ended, end }
 }
 
-fn found(record: record::Record, windows: &[record::Window], ran: u32) -> Vec<Promise> {
+fn found(record: record::Record, windows: &[record::Window], ran: u32) -> Vec<Invariant> {
     let log = record::Log { records: vec![record], sights: Vec::new(), windows: windows.to_vec() };
     let runs = match ran {
         0 => check::Runs::new(),
         ran => check::Runs::from([("a1".to_string(), ran)]),
     };
-    check::check(&log, &runs).into_iter().map(|broken| broken.promise).collect()
+    check::check(&log, &runs).into_iter().map(|violation| violation.invariant).collect()
 }
 
 // A trouble of entry 0 that began `before` the request and ended `after` that.
@@ -64,39 +64,39 @@
 #[test]
 fn too_many_runs() {
     let whole = || End::Answer(reply(200, false, Some("body of a1")));
-    assert_eq!(found(record(Kind::Unsafe, whole()), &[], 2), [Promise::Runs]);
+    assert_eq!(found(record(Kind::Unsafe, whole()), &[], 2), [Invariant::RunCount]);
     assert_eq!(found(record(Kind::Safe, whole()), &[], 2), []);
-    assert_eq!(found(record(Kind::Safe, whole()), &[], 3), [Promise::Runs]);
-    assert_eq!(found(record(Kind::Stream, End::Left), &[], 2), [Promise::Runs]);
+    assert_eq!(found(record(Kind::Safe, whole()), &[], 3), [Invariant::RunCount]);
+    assert_eq!(found(record(Kind::Stream, End::Left), &[], 2), [Invariant::RunCount]);
 }
 
 #[test]
 fn false_refusal() {
-    assert_eq!(found(record(Kind::Unsafe, End::Answer(refusal())), &[], 1), [Promise::NotRun]);
+    assert_eq!(found(record(Kind::Unsafe, End::Answer(refusal())), &[], 1), [Invariant::NotRun]);
     let bare = reply(503, true, Some("busy\n"));
-    assert_eq!(found(record(Kind::Unsafe, End::Answer(bare)), &[], 0), [Promise::ComeBack]);
+    assert_eq!(found(record(Kind::Unsafe, End::Answer(bare)), &[], 0), [Invariant::RetryAfter]);
 }
 
 #[test]
 fn wrong_body() {
     let others = reply(200, false, Some("body of a2"));
-    assert_eq!(found(record(Kind::Safe, End::Answer(others)), &[], 1), [Promise::Whole]);
+    assert_eq!(found(record(Kind::Safe, End::Answer(others)), &[], 1), [Invariant::Intact]);
     let part = reply(200, false, Some("id: 0\n"));
-    assert_eq!(found(record(Kind::Resumable, End::Answer(part)), &[], 1), [Promise::Whole]);
+    assert_eq!(found(record(Kind::Resumable, End::Answer(part)), &[], 1), [Invariant::Intact]);
     let cut = reply(200, false, None);
-    assert_eq!(found(record(Kind::Safe, End::Answer(cut)), &[], 1), [Promise::Whole]);
+    assert_eq!(found(record(Kind::Safe, End::Answer(cut)), &[], 1), [Invariant::Intact]);
 }
 
 #[test]
 fn no_answer() {
     let broken = || record(Kind::Safe, End::Broken("reset".to_string()));
-    assert_eq!(found(broken(), &[], 0), [Promise::Answered]);
+    assert_eq!(found(broken(), &[], 0), [Invariant::Answered]);
     let killed = window(Trouble::Killed, &broken(), 10, 1_000);
     assert_eq!(found(broken(), &[killed], 0), []);
     let earlier = window(Trouble::Killed, &broken(), 500, 100);
-    assert_eq!(found(broken(), &[earlier], 0), [Promise::Answered]);
+    assert_eq!(found(broken(), &[earlier], 0), [Invariant::Answered]);
     let stopped_after = window(Trouble::Stopped, &broken(), -20, 1_000);
-    assert_eq!(found(broken(), &[stopped_after], 0), [Promise::Stop]);
+    assert_eq!(found(broken(), &[stopped_after], 0), [Invariant::GracefulStop]);
     let stopped_before = window(Trouble::Stopped, &broken(), 20, 1_000);
     assert_eq!(found(broken(), &[stopped_before], 0), []);
 }
@@ -105,7 +105,7 @@
 fn late_answer() {
     let mut slow = reply(200, false, Some("body of a1"));
     slow.taken = standin::PLAIN_LIMIT + time::Duration::from_secs(2);
-    assert_eq!(found(record(Kind::Safe, End::Answer(slow)), &[], 1), [Promise::InTime]);
+    assert_eq!(found(record(Kind::Safe, End::Answer(slow)), &[], 1), [Invariant::Deadline]);
 }
 
 #[test]
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -9,7 +9,7 @@
 async fn play(seed: u64) -> anyhow::Result<()> {
     let plan = plan::Plan::draw(seed, LENGTH);
     let report = soak::play(&plan).await?;
-    assert!(report.broken.is_empty(), "seed {seed}: {report}\n{}", report.logs.join("\n---\n"));
+    assert!(report.violations.is_empty(), "seed {seed}: {report}\n{}", report.logs.join("\n---\n"));
     assert!(report.answered > 0, "seed {seed}: {report}");
     Ok(())
 }
