--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -13,7 +13,7 @@
 /// What callers and their observer share.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    pub(crate) log: sync::Mutex<record::Log>,
+    pub(crate) history: sync::Mutex<record::History>,
     pub(crate) edges: Vec<net::SocketAddr>,
     /// Newest version of the config in the store.
     pub(crate) version: atomic::AtomicU64,
@@ -31,8 +31,8 @@
 const LOOK_EVERY: time::Duration = time::Duration::from_millis(150);
 
 impl Shared {
-    pub(crate) fn log(&self) -> sync::MutexGuard<'_, record::Log> {
-        locks::lock(&self.log)
+    pub(crate) fn history(&self) -> sync::MutexGuard<'_, record::History> {
+        locks::lock(&self.history)
     }
 
     fn is_stopped(&self) -> bool {
@@ -47,7 +47,7 @@
         let edge = rand::random_range(0..shared.edges.len());
         let kind = record::KINDS[rand::random_range(0..record::KINDS.len())];
         let record = call(&shared, &client, edge, kind).await;
-        shared.log().records.push(record);
+        shared.history().records.push(record);
         let pause = rand::rng().random_range(PAUSE);
         tokio::time::sleep(time::Duration::from_millis(pause)).await;
     }
@@ -71,9 +71,9 @@
         reply = sending => match reply {
             Ok(reply) => record::End::Answer(reply),
             Err(client::CallError::Unreachable(_)) => record::End::Unreachable,
-            Err(err) => record::End::Broken(err.to_string()),
+            Err(err) => record::End::ConnectionLost(err.to_string()),
         },
-        () = tokio::time::sleep(after), if leaves => record::End::Left,
+        () = tokio::time::sleep(after), if leaves => record::End::Abandoned,
     };
     record::Record { attempt, kind, edge, began, ended: time::Instant::now(), end }
 }
@@ -83,8 +83,8 @@
     let client = client::Client::new();
     while !shared.is_stopped() {
         let version = shared.version.load(atomic::Ordering::Relaxed);
-        if let Some(sight) = look(&shared, &client, edge, version).await {
-            shared.log().sights.push(sight);
+        if let Some(probe) = look(&shared, &client, edge, version).await {
+            shared.history().probes.push(probe);
         }
         tokio::time::sleep(LOOK_EVERY).await;
     }
@@ -96,7 +96,7 @@
     client: &client::Client,
     edge: usize,
     version: u64,
-) -> Option<record::Sight> {
+) -> Option<record::ConfigProbe> {
     let host = standin::version_host(version);
     let attempt = format!("look{}", shared.seq.fetch_add(1, atomic::Ordering::Relaxed));
     let headers = [("host", host.as_str())];
@@ -107,5 +107,5 @@
         404 => false,
         _ => return None,
     };
-    Some(record::Sight { edge, at: time::Instant::now(), version, in_force })
+    Some(record::ConfigProbe { edge, at: time::Instant::now(), version, in_force })
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -55,19 +55,21 @@
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
 /// Checks all requests and looks.
-pub fn check(log: &record::Log, runs: &Runs) -> Vec<Violation> {
+pub fn check(history: &record::History, runs: &Runs) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for record in &log.records {
+    for record in &history.records {
         violations.extend(check_runs(record, runs));
         match &record.end {
-            record::End::Answer(reply) => violations.extend(check_answer(log, record, reply, runs)),
-            record::End::Unreachable | record::End::Broken(_) => {
-                violations.extend(check_unanswered(log, record));
+            record::End::Answer(reply) => {
+                violations.extend(check_answer(history, record, reply, runs))
             }
-            record::End::Left => {}
+            record::End::Unreachable | record::End::ConnectionLost(_) => {
+                violations.extend(check_unanswered(history, record));
+            }
+            record::End::Abandoned => {}
         }
     }
-    violations.extend(check_sights(log));
+    violations.extend(check_probes(history));
     violations
 }
 
@@ -84,13 +86,13 @@
 
 fn check_runs(record: &record::Record, runs: &Runs) -> Option<Violation> {
     let ran = runs.get(&record.attempt).copied().unwrap_or(0);
-    let most = record.kind.most_runs();
+    let most = record.kind.max_runs();
     (ran > most)
         .then(|| violation(Invariant::RunCount, record, &format!("ran {ran} times, not {most}")))
 }
 
 fn check_answer(
-    log: &record::Log,
+    history: &record::History,
     record: &record::Record,
     reply: &call::Reply,
     runs: &Runs,
@@ -104,10 +106,10 @@
         violations.push(violation(Invariant::RetryAfter, record, "no time to come back"));
     }
     let body = format!("body of {}", record.attempt);
-    let is_whole = reply.body.as_ref() == Some(&record.kind.whole(&body));
+    let is_whole = reply.body.as_ref() == Some(&record.kind.expected_body(&body));
     let is_plain = matches!(record.kind, record::Kind::Safe | record::Kind::Unsafe);
     // A stream may be broken off, so that its caller sees it; a plain answer is passed whole.
-    let may_break = !is_plain || is_in_trouble(log, record);
+    let may_break = !is_plain || is_in_trouble(history, record);
     if reply.status == 200 && !is_whole && !(reply.body.is_none() && may_break) {
         violations.push(violation(
             Invariant::Intact,
@@ -115,21 +117,21 @@
             "not the whole answer to this request",
         ));
     }
-    if reply.taken > record.kind.limit() + SLACK && !is_in_trouble(log, record) {
+    if reply.taken > record.kind.timeout() + SLACK && !is_in_trouble(history, record) {
         violations.push(violation(Invariant::Deadline, record, "too late"));
     }
     violations
 }
 
-fn is_in_trouble(log: &record::Log, record: &record::Record) -> bool {
-    log.windows.iter().any(|window| window.meets(record))
+fn is_in_trouble(history: &record::History, record: &record::Record) -> bool {
+    history.windows.iter().any(|window| window.overlaps(record))
 }
 
 // A stop excuses only requests that were sent after it, and may reach a listener that is gone.
-fn check_unanswered(log: &record::Log, record: &record::Record) -> Option<Violation> {
-    let mut windows = log.windows.iter().filter(|window| window.meets(record));
-    let is_excused = windows.clone().any(|window| window.trouble != record::Trouble::Stopped);
-    let was_before = |window: &record::Window| record.began < window.from;
+fn check_unanswered(history: &record::History, record: &record::Record) -> Option<Violation> {
+    let mut windows = history.windows.iter().filter(|window| window.overlaps(record));
+    let is_excused = windows.clone().any(|window| window.fault != record::EntryFault::Stopped);
+    let was_before = |window: &record::FaultWindow| record.began < window.from;
     if is_excused {
         return None;
     }
@@ -139,34 +141,34 @@
     windows.next().is_none().then(|| violation(Invariant::Answered, record, "no answer"))
 }
 
-fn check_sights(log: &record::Log) -> Vec<Violation> {
+fn check_probes(history: &record::History) -> Vec<Violation> {
     let mut newest: collections::BTreeMap<usize, (time::Instant, u64)> =
         collections::BTreeMap::new();
     let mut violations = Vec::new();
-    for sight in &log.sights {
-        let known = newest.get(&sight.edge).copied();
-        if sight.in_force {
-            let version = known.map_or(0, |(_, version)| version).max(sight.version);
-            newest.insert(sight.edge, (sight.at, version));
+    for probe in &history.probes {
+        let known = newest.get(&probe.edge).copied();
+        if probe.in_force {
+            let version = known.map_or(0, |(_, version)| version).max(probe.version);
+            newest.insert(probe.edge, (probe.at, version));
             continue;
         }
-        let Some((at, version)) = known.filter(|(_, version)| *version >= sight.version) else {
+        let Some((at, version)) = known.filter(|(_, version)| *version >= probe.version) else {
             continue;
         };
-        let ended = |window: &record::Window| {
-            window.edge == sight.edge
-                && window.trouble != record::Trouble::Frozen
-                && window.from <= sight.at
+        let ended = |window: &record::FaultWindow| {
+            window.edge == probe.edge
+                && window.fault != record::EntryFault::Frozen
+                && window.from <= probe.at
                 && window.until.is_none_or(|until| until >= at)
         };
         // An entry that was started again may know less for a while.
-        if log.windows.iter().any(ended) {
-            newest.remove(&sight.edge);
+        if history.windows.iter().any(ended) {
+            newest.remove(&probe.edge);
             continue;
         }
         let detail = format!(
             "entry {}: version {version} was in force, {} is not",
-            sight.edge, sight.version
+            probe.edge, probe.version
         );
         violations.push(Violation { invariant: Invariant::NoRollback, detail });
     }
--- a/crates/soak/src/injector.rs
+++ b/crates/soak/src/injector.rs
@@ -30,12 +30,12 @@
     pub(crate) async fn apply(&mut self, change: plan::Change) -> anyhow::Result<()> {
         match change {
             plan::Change::Kill(edge) => {
-                self.open(edge, record::Trouble::Killed);
+                self.open(edge, record::EntryFault::Killed);
                 self.site.edges[edge].kill();
             }
             plan::Change::Start(edge) => self.start(edge).await?,
             plan::Change::Freeze(edge) => {
-                self.open(edge, record::Trouble::Frozen);
+                self.open(edge, record::EntryFault::Frozen);
                 self.site.edges[edge].signal(Signal::STOP);
             }
             plan::Change::Thaw(edge) => {
@@ -43,7 +43,7 @@
                 self.close(edge, SETTLE);
             }
             plan::Change::Stop(edge) => {
-                self.open(edge, record::Trouble::Stopped);
+                self.open(edge, record::EntryFault::Stopped);
                 self.site.edges[edge].signal(Signal::TERM);
             }
             plan::Change::Reload(edge) => self.site.edges[edge].signal(Signal::HUP),
@@ -107,9 +107,9 @@
     }
 
     fn is_stopping(&self, edge: usize) -> bool {
-        let log = self.shared.log();
-        let mut open = log.windows.iter().filter(|window| window.until.is_none());
-        open.any(|window| window.edge == edge && window.trouble == record::Trouble::Stopped)
+        let history = self.shared.history();
+        let mut open = history.windows.iter().filter(|window| window.until.is_none());
+        open.any(|window| window.edge == edge && window.fault == record::EntryFault::Stopped)
     }
 
     async fn wait_stop(&mut self, edge: usize) {
@@ -130,15 +130,15 @@
         }
     }
 
-    fn open(&self, edge: usize, trouble: record::Trouble) {
-        let window = record::Window { edge, trouble, from: time::Instant::now(), until: None };
-        self.shared.log().windows.push(window);
+    fn open(&self, edge: usize, fault: record::EntryFault) {
+        let window = record::FaultWindow { edge, fault, from: time::Instant::now(), until: None };
+        self.shared.history().windows.push(window);
     }
 
     fn close(&self, edge: usize, settle: time::Duration) {
         let until = Some(time::Instant::now() + settle);
-        let mut log = self.shared.log();
-        for window in log.windows.iter_mut().filter(|window| window.edge == edge) {
+        let mut history = self.shared.history();
+        for window in history.windows.iter_mut().filter(|window| window.edge == edge) {
             window.until = window.until.or(until);
         }
     }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -32,7 +32,7 @@
     }
 
     /// Most servers at which one request may run.
-    pub fn most_runs(self) -> u32 {
+    pub fn max_runs(self) -> u32 {
         match self {
             Kind::Safe | Kind::Resumable => standin::MAX_ATTEMPTS,
             Kind::Unsafe | Kind::Stream => 1,
@@ -40,7 +40,7 @@
     }
 
     /// Longest time to its answer.
-    pub fn limit(self) -> time::Duration {
+    pub fn timeout(self) -> time::Duration {
         match self {
             Kind::Safe | Kind::Unsafe => standin::PLAIN_LIMIT,
             Kind::Resumable | Kind::Stream => standin::STREAM_LIMIT,
@@ -48,7 +48,7 @@
     }
 
     /// Body of the whole answer to a request with `body`.
-    pub fn whole(self, body: &str) -> String {
+    pub fn expected_body(self, body: &str) -> String {
         match self {
             Kind::Safe | Kind::Unsafe => body.to_string(),
             Kind::Resumable | Kind::Stream => standin::whole_stream(),
@@ -64,9 +64,9 @@
     /// No connection could be made.
     Unreachable,
     /// The connection ended without an answer.
-    Broken(String),
+    ConnectionLost(String),
     /// The caller left before the answer.
-    Left,
+    Abandoned,
 }
 
 /// One request.
@@ -88,7 +88,7 @@
 
 /// Whether a version of the config was in force at an entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight {
+pub struct ConfigProbe {
     /// Entry.
     pub edge: usize,
     /// When the answer came.
@@ -101,7 +101,7 @@
 
 /// What was done to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum EntryFault {
     /// It was killed.
     Killed,
     /// It was frozen.
@@ -110,22 +110,22 @@
     Stopped,
 }
 
-/// A time in which an entry was in trouble.
+/// A time in which an entry was in fault.
 #[derive(Clone, Copy, Debug)]
-pub struct Window {
+pub struct FaultWindow {
     /// Entry.
     pub edge: usize,
     /// What was done.
-    pub trouble: Trouble,
+    pub fault: EntryFault,
     /// When it began.
     pub from: time::Instant,
     /// When the entry was as before; `None` while it is not.
     pub until: Option<time::Instant>,
 }
 
-impl Window {
+impl FaultWindow {
     /// Whether the window overlaps the time of `record`.
-    pub fn meets(&self, record: &Record) -> bool {
+    pub fn overlaps(&self, record: &Record) -> bool {
         self.edge == record.edge
             && self.from <= record.ended
             && self.until.is_none_or(|until| until >= record.began)
@@ -134,11 +134,11 @@
 
 /// Everything that was seen.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
+pub struct History {
     /// Requests.
     pub records: Vec<Record>,
     /// Looks at the config in force.
-    pub sights: Vec<Sight>,
+    pub probes: Vec<ConfigProbe>,
     /// Troubles of entries.
-    pub windows: Vec<Window>,
+    pub windows: Vec<FaultWindow>,
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -44,7 +44,7 @@
 pub async fn play(plan: &plan::Plan) -> anyhow::Result<Report> {
     let site = standin::Site::start(plan.sizes).await?;
     let shared = sync::Arc::new(callers::Shared {
-        log: sync::Mutex::default(),
+        history: sync::Mutex::default(),
         edges: site.edges.iter().map(|edge| edge.callers).collect(),
         version: atomic::AtomicU64::new(1),
         stopped: atomic::AtomicBool::new(false),
@@ -93,19 +93,19 @@
     }
     let client = client::Client::new();
     let version = injector.shared.version.load(atomic::Ordering::Relaxed);
-    let sight = callers::look(&injector.shared, &client, edge, version).await;
-    if !sight.is_some_and(|sight| sight.in_force) {
+    let probe = callers::look(&injector.shared, &client, edge, version).await;
+    if !probe.is_some_and(|probe| probe.in_force) {
         return Err(format!("entry {edge} does not have version {version}"));
     }
     for kind in record::KINDS {
         let record = callers::call(&injector.shared, &client, edge, kind).await;
         let is_served = match &record.end {
             record::End::Answer(reply) => reply.status == 200,
-            record::End::Left => true,
+            record::End::Abandoned => true,
             _ => false,
         };
         let detail = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
-        injector.shared.log().records.push(record);
+        injector.shared.history().records.push(record);
         if !is_served {
             return Err(detail);
         }
@@ -134,10 +134,10 @@
             *runs.entry(attempt).or_default() += count;
         }
     }
-    let log = injector.shared.log();
+    let history = injector.shared.history();
     let mut violations = injector.violations;
-    violations.extend(check::check(&log, &runs));
-    let replies = log.records.iter().filter_map(|record| match &record.end {
+    violations.extend(check::check(&history, &runs));
+    let replies = history.records.iter().filter_map(|record| match &record.end {
         record::End::Answer(reply) => Some(reply),
         _ => None,
     });
@@ -146,7 +146,7 @@
         false => injector.site.edges.iter().map(edge::Edge::log).collect(),
     };
     Report {
-        requests: log.records.len(),
+        requests: history.records.len(),
         answered: replies.clone().filter(|reply| !reply.is_own()).count(),
         refused: replies.filter(|reply| reply.is_own() && reply.status == 503).count(),
         violations,
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -8,7 +8,7 @@
 use rhubarb_soak::{check, record};
 
 use check::Invariant;
-use record::{End, Kind, Trouble};
+use record::{End, EntryFault, Kind};
 
 fn reply(status: u16, is_own: bool, body: Option<&str>) -> call::Reply {
     let mut headers = HeaderMap::new();
@@ -31,21 +31,27 @@
     record::Record { attempt: "a1".to_string(), kind, edge: 0, began, ended, end }
 }
 
-fn found(record: record::Record, windows: &[record::Window], ran: u32) -> Vec<Invariant> {
-    let log = record::Log { records: vec![record], sights: Vec::new(), windows: windows.to_vec() };
+fn found(record: record::Record, windows: &[record::FaultWindow], ran: u32) -> Vec<Invariant> {
+    let history =
+        record::History { records: vec![record], probes: Vec::new(), windows: windows.to_vec() };
     let runs = match ran {
         0 => check::Runs::new(),
         ran => check::Runs::from([("a1".to_string(), ran)]),
     };
-    check::check(&log, &runs).into_iter().map(|violation| violation.invariant).collect()
+    check::check(&history, &runs).into_iter().map(|violation| violation.invariant).collect()
 }
 
-// A trouble of entry 0 that began `before` the request and ended `after` that.
-fn window(trouble: Trouble, record: &record::Record, before: i64, after: u64) -> record::Window {
+// A fault of entry 0 that began `before` the request and ended `after` that.
+fn window(
+    fault: EntryFault,
+    record: &record::Record,
+    before: i64,
+    after: u64,
+) -> record::FaultWindow {
     let shift = time::Duration::from_millis(before.unsigned_abs());
     let from = if before < 0 { record.began + shift } else { record.began - shift };
     let until = Some(from + time::Duration::from_millis(after));
-    record::Window { edge: 0, trouble, from, until }
+    record::FaultWindow { edge: 0, fault, from, until }
 }
 
 #[test]
@@ -58,7 +64,7 @@
     let cut = reply(200, false, None);
     assert_eq!(found(record(Kind::Stream, End::Answer(cut)), &[], 1), [], "its caller sees it");
     assert_eq!(found(record(Kind::Safe, End::Answer(refusal())), &[], 0), []);
-    assert_eq!(found(record(Kind::Safe, End::Left), &[], 2), []);
+    assert_eq!(found(record(Kind::Safe, End::Abandoned), &[], 2), []);
 }
 
 #[test]
@@ -67,7 +73,7 @@
     assert_eq!(found(record(Kind::Unsafe, whole()), &[], 2), [Invariant::RunCount]);
     assert_eq!(found(record(Kind::Safe, whole()), &[], 2), []);
     assert_eq!(found(record(Kind::Safe, whole()), &[], 3), [Invariant::RunCount]);
-    assert_eq!(found(record(Kind::Stream, End::Left), &[], 2), [Invariant::RunCount]);
+    assert_eq!(found(record(Kind::Stream, End::Abandoned), &[], 2), [Invariant::RunCount]);
 }
 
 #[test]
@@ -89,15 +95,15 @@
 
 #[test]
 fn no_answer() {
-    let broken = || record(Kind::Safe, End::Broken("reset".to_string()));
+    let broken = || record(Kind::Safe, End::ConnectionLost("reset".to_string()));
     assert_eq!(found(broken(), &[], 0), [Invariant::Answered]);
-    let killed = window(Trouble::Killed, &broken(), 10, 1_000);
+    let killed = window(EntryFault::Killed, &broken(), 10, 1_000);
     assert_eq!(found(broken(), &[killed], 0), []);
-    let earlier = window(Trouble::Killed, &broken(), 500, 100);
+    let earlier = window(EntryFault::Killed, &broken(), 500, 100);
     assert_eq!(found(broken(), &[earlier], 0), [Invariant::Answered]);
-    let stopped_after = window(Trouble::Stopped, &broken(), -20, 1_000);
+    let stopped_after = window(EntryFault::Stopped, &broken(), -20, 1_000);
     assert_eq!(found(broken(), &[stopped_after], 0), [Invariant::GracefulStop]);
-    let stopped_before = window(Trouble::Stopped, &broken(), 20, 1_000);
+    let stopped_before = window(EntryFault::Stopped, &broken(), 20, 1_000);
     assert_eq!(found(broken(), &[stopped_before], 0), []);
 }
 
@@ -112,18 +118,22 @@
 fn config_undone() {
     let start = time::Instant::now();
     let at = |millis| start + time::Duration::from_millis(millis);
-    let sight =
-        |millis, version, in_force| record::Sight { edge: 0, at: at(millis), version, in_force };
-    let undone = |sights: &[record::Sight], windows: &[record::Window]| {
-        let (sights, windows) = (sights.to_vec(), windows.to_vec());
-        let log = record::Log { records: Vec::new(), sights, windows };
-        check::check(&log, &check::Runs::new()).len()
+    let probe = |millis, version, in_force| record::ConfigProbe {
+        edge: 0,
+        at: at(millis),
+        version,
+        in_force,
     };
-    let grows = [sight(0, 1, true), sight(10, 2, false), sight(20, 2, true), sight(30, 3, false)];
+    let undone = |probes: &[record::ConfigProbe], windows: &[record::FaultWindow]| {
+        let (probes, windows) = (probes.to_vec(), windows.to_vec());
+        let history = record::History { records: Vec::new(), probes, windows };
+        check::check(&history, &check::Runs::new()).len()
+    };
+    let grows = [probe(0, 1, true), probe(10, 2, false), probe(20, 2, true), probe(30, 3, false)];
     assert_eq!(undone(&grows, &[]), 0);
-    let falls = [sight(0, 2, true), sight(20, 2, false)];
+    let falls = [probe(0, 2, true), probe(20, 2, false)];
     assert_eq!(undone(&falls, &[]), 1);
-    let window = |trouble| record::Window { edge: 0, trouble, from: at(5), until: Some(at(10)) };
-    assert_eq!(undone(&falls, &[window(Trouble::Killed)]), 0, "another process");
-    assert_eq!(undone(&falls, &[window(Trouble::Frozen)]), 1, "the same process");
+    let window = |fault| record::FaultWindow { edge: 0, fault, from: at(5), until: Some(at(10)) };
+    assert_eq!(undone(&falls, &[window(EntryFault::Killed)]), 0, "another process");
+    assert_eq!(undone(&falls, &[window(EntryFault::Frozen)]), 1, "the same process");
 }
