--- a/crates/soak/src/injector.rs
+++ b/crates/soak/src/injector.rs
@@ -38,7 +38,7 @@
                 self.open(edge, record::EntryFault::Frozen);
                 self.site.edges[edge].signal(Signal::STOP);
             }
-            plan::Change::Thaw(edge) => {
+            plan::Change::Resume(edge) => {
                 self.site.edges[edge].signal(Signal::CONT);
                 self.close(edge, SETTLE);
             }
@@ -50,13 +50,13 @@
             plan::Change::Store(mode) => self.site.store.set_mode(mode),
             plan::Change::Compact => self.site.store.compact(),
             plan::Change::Config => self.next_config(),
-            plan::Change::Rebirth(number) => {
+            plan::Change::RestartServer(number) => {
                 let server = self.site.servers()[number].clone();
                 server.restart();
                 self.site.relays[&server.id].cut();
                 self.site.announce(&server, "ready");
             }
-            plan::Change::Move(number) => {
+            plan::Change::MoveServer(number) => {
                 let server = self.site.servers()[number].clone();
                 self.site.move_server(&server).await?;
                 self.site.announce(&server, "ready");
@@ -71,21 +71,21 @@
         let server = |number: usize| &servers[number];
         let relay = |number: usize| &self.site.relays[&servers[number].id];
         match change {
-            plan::Change::Server(number, fault) => server(number).set_fault(fault),
-            plan::Change::Hold(number, is_held) => {
+            plan::Change::ServerFault(number, fault) => server(number).set_fault(fault),
+            plan::Change::HoldTraffic(number, is_held) => {
                 let mode = if is_held { relay::Mode::Hold } else { relay::Mode::Pass };
                 relay(number).set(mode, mode);
             }
-            plan::Change::Cut(number) => relay(number).cut(),
-            plan::Change::Silence(number) => relay(number).silence(),
-            plan::Change::Leaving(number, is_leaving) => {
+            plan::Change::CloseConnections(number) => relay(number).cut(),
+            plan::Change::Blackhole(number) => relay(number).silence(),
+            plan::Change::Drain(number, is_leaving) => {
                 let state = if is_leaving { "draining" } else { "ready" };
                 self.site.announce(server(number), state);
             }
-            plan::Change::Lapse(number) => {
+            plan::Change::Expire(number) => {
                 self.site.store.remove("servers", &server(number).id);
             }
-            plan::Change::Garble(number) => {
+            plan::Change::Corrupt(number) => {
                 self.site.store.put("servers", &server(number).id, "{\"service\":");
             }
             _ => {}
@@ -147,9 +147,9 @@
     pub(crate) async fn heal(&mut self) -> anyhow::Result<()> {
         self.apply(plan::Change::Store(store::Mode::Up)).await?;
         for number in 0..self.site.servers().len() {
-            self.apply(plan::Change::Server(number, backend::Fault::None)).await?;
-            self.apply(plan::Change::Hold(number, false)).await?;
-            self.apply(plan::Change::Leaving(number, false)).await?;
+            self.apply(plan::Change::ServerFault(number, backend::Fault::None)).await?;
+            self.apply(plan::Change::HoldTraffic(number, false)).await?;
+            self.apply(plan::Change::Drain(number, false)).await?;
         }
         self.next_config();
         Ok(())
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -17,7 +17,7 @@
     /// Freezes an entry.
     Freeze(usize),
     /// Lets a frozen entry go on.
-    Thaw(usize),
+    Resume(usize),
     /// Tells an entry to stop.
     Stop(usize),
     /// Tells an entry to read its settings again.
@@ -27,25 +27,25 @@
     /// Drops the store's history.
     Compact,
     /// Changes what goes wrong at a server.
-    Server(usize, backend::Fault),
+    ServerFault(usize, backend::Fault),
     /// Holds back what passes to and from a server, or lets it pass again.
-    Hold(usize, bool),
+    HoldTraffic(usize, bool),
     /// Closes all connections to a server.
-    Cut(usize),
+    CloseConnections(usize),
     /// Makes open connections to a server silent for good.
-    Silence(usize),
+    Blackhole(usize),
     /// Puts the next version of the config in the store.
     Config,
     /// Says in the store that a server is leaving, or is ready again.
-    Leaving(usize, bool),
+    Drain(usize, bool),
     /// Drops a server's entry in the store.
-    Lapse(usize),
+    Expire(usize),
     /// Writes bytes in a server's place that are no entry.
-    Garble(usize),
+    Corrupt(usize),
     /// Starts a server again under its id.
-    Rebirth(usize),
+    RestartServer(usize),
     /// Moves a server to a new address; its old one is silent.
-    Move(usize),
+    MoveServer(usize),
 }
 
 /// A change and its moment after the start.
@@ -160,27 +160,27 @@
             4 => self.push(at, Change::Compact),
             5 | 6 => {
                 let fault = self.pick(&SERVER_FAULTS);
-                self.push(at, Change::Server(server, fault));
-                self.push(until, Change::Server(server, backend::Fault::None));
+                self.push(at, Change::ServerFault(server, fault));
+                self.push(until, Change::ServerFault(server, backend::Fault::None));
             }
             7 => {
-                self.push(at, Change::Hold(server, true));
-                self.push(until, Change::Hold(server, false));
+                self.push(at, Change::HoldTraffic(server, true));
+                self.push(until, Change::HoldTraffic(server, false));
             }
-            8 => self.push(at, Change::Cut(server)),
-            9 => self.push(at, Change::Silence(server)),
+            8 => self.push(at, Change::CloseConnections(server)),
+            9 => self.push(at, Change::Blackhole(server)),
             10 => self.push(at, Change::Config),
-            11 => self.push(at, Change::Rebirth(server)),
-            12 => self.push(at, Change::Move(server)),
+            11 => self.push(at, Change::RestartServer(server)),
+            12 => self.push(at, Change::MoveServer(server)),
             13 => self.all_killed(at, until),
             _ => {
                 let change = self.pick(&[
-                    Change::Leaving(server, true),
-                    Change::Lapse(server),
-                    Change::Garble(server),
+                    Change::Drain(server, true),
+                    Change::Expire(server),
+                    Change::Corrupt(server),
                 ]);
                 self.push(at, change);
-                self.push(until, Change::Leaving(server, false));
+                self.push(until, Change::Drain(server, false));
             }
         }
     }
@@ -203,7 +203,7 @@
         }
         let (begin, end, until) = match self.random.random_range(0..4) {
             0 => (Change::Kill(edge), Change::Start(edge), until),
-            1 => (Change::Freeze(edge), Change::Thaw(edge), until),
+            1 => (Change::Freeze(edge), Change::Resume(edge), until),
             2 => (Change::Stop(edge), Change::Start(edge), at + STOP_SPAN),
             _ => (Change::Reload(edge), Change::Reload(edge), until),
         };
