--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -43,7 +43,7 @@
     let mut failed = Vec::new();
     for seed in first..first + options.seeds {
         let plan = plan::Plan::draw(seed, time::Duration::from_secs(options.seconds));
-        let report = soak::play(&plan).await?;
+        let report = soak::run(&plan).await?;
         println!("seed {seed}: {report}");
         if !report.violations.is_empty() {
             failed.push(seed);
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Returns an error if the deployment does not start.
-pub async fn play(plan: &plan::Plan) -> anyhow::Result<Report> {
+pub async fn run(plan: &plan::Plan) -> anyhow::Result<Report> {
     let site = standin::Site::start(plan.sizes).await?;
     let shared = sync::Arc::new(callers::Shared {
         history: sync::Mutex::default(),
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -6,9 +6,9 @@
 
 const LENGTH: time::Duration = time::Duration::from_secs(5);
 
-async fn play(seed: u64) -> anyhow::Result<()> {
+async fn run(seed: u64) -> anyhow::Result<()> {
     let plan = plan::Plan::draw(seed, LENGTH);
-    let report = soak::play(&plan).await?;
+    let report = soak::run(&plan).await?;
     assert!(report.violations.is_empty(), "seed {seed}: {report}\n{}", report.logs.join("\n---\n"));
     assert!(report.answered > 0, "seed {seed}: {report}");
     Ok(())
@@ -16,12 +16,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn first_seed() -> anyhow::Result<()> {
-    play(1).await
+    run(1).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_seed() -> anyhow::Result<()> {
-    play(2).await
+    run(2).await
 }
 
 #[test]
