--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a soak, and when; a seed always draws the same plan.
+//! Schedule of the faults in a soak; the same seed always draws the same plan.
 
 use std::time;
 
@@ -7,77 +7,77 @@
 use rhubarb_e2e::standin;
 use rhubarb_fakes::{backend, store};
 
-/// One change from outside.
+/// One change to the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Kills an entry.
+    /// Kills an entry with SIGKILL.
     Kill(usize),
-    /// Starts an entry again that was killed or told to stop.
+    /// Restarts an entry that was killed or stopped.
     Start(usize),
-    /// Freezes an entry.
+    /// Freezes an entry with SIGSTOP.
     Freeze(usize),
-    /// Lets a frozen entry go on.
+    /// Resumes a frozen entry with SIGCONT.
     Resume(usize),
-    /// Tells an entry to stop.
+    /// Stops an entry gracefully with SIGTERM.
     Stop(usize),
-    /// Tells an entry to read its settings again.
+    /// Makes an entry reload its settings with SIGHUP.
     Reload(usize),
-    /// Changes how the store behaves.
+    /// Sets the mode of the store.
     Store(store::Mode),
-    /// Drops the store's history.
+    /// Discards the change history of the store.
     Compact,
-    /// Changes what goes wrong at a server.
+    /// Sets the fault of a server.
     ServerFault(usize, backend::Fault),
-    /// Holds back what passes to and from a server, or lets it pass again.
+    /// Buffers the traffic of a server in both directions, or forwards it again.
     HoldTraffic(usize, bool),
     /// Closes all connections to a server.
     CloseConnections(usize),
-    /// Makes open connections to a server silent for good.
+    /// Makes open connections to a server forward nothing more; new connections work.
     Blackhole(usize),
-    /// Puts the next version of the config in the store.
+    /// Writes the next version of the config to the store.
     Config,
-    /// Says in the store that a server is leaving, or is ready again.
+    /// Sets the state of a server in the store to draining, or back to ready.
     Drain(usize, bool),
-    /// Drops a server's entry in the store.
+    /// Deletes the row of a server, as if its registration had expired.
     Expire(usize),
-    /// Writes bytes in a server's place that are no entry.
+    /// Overwrites the row of a server with malformed JSON.
     Corrupt(usize),
-    /// Starts a server again under its id.
+    /// Restarts a server under the same id.
     RestartServer(usize),
-    /// Moves a server to a new address; its old one is silent.
+    /// Moves a server to a new address; the old one accepts connections and forwards nothing.
     MoveServer(usize),
 }
 
-/// A change and its moment after the start.
+/// A change and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
     /// Time since the start.
     pub at: time::Duration,
-    /// What is changed.
+    /// The change.
     pub change: Change,
 }
 
-/// Everything that is done in one soak.
+/// Complete plan of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Seed of the plan.
     pub seed: u64,
-    /// Time in which faults begin.
+    /// Period in which faults start.
     pub length: time::Duration,
     /// Sizes of the deployment.
     pub sizes: standin::Sizes,
-    /// Callers that send requests one after another.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Changes in their order.
+    /// Changes in order of time.
     pub steps: Vec<Step>,
 }
 
-/// Time between the beginnings of two faults, in milliseconds.
-const GAP: std::ops::Range<u64> = 100..900;
-/// Time for which a fault lasts, in milliseconds.
-const SPAN: std::ops::Range<u64> = 100..2_500;
-/// An entry that is told to stop may take its grace of 8 s.
-const STOP_SPAN: time::Duration = time::Duration::from_secs(9);
+/// Time from the start of one fault to the next.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..900;
+/// Duration of a fault.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 100..2_500;
+/// Exceeds the grace period of 8 s that an entry has for a graceful stop.
+const STOP_DURATION: time::Duration = time::Duration::from_secs(9);
 const STORE_MODES: [store::Mode; 4] =
     [store::Mode::Busy, store::Mode::Unresponsive, store::Mode::LostReplies, store::Mode::Slow];
 const SERVER_FAULTS: [backend::Fault; 14] = [
@@ -97,17 +97,17 @@
     backend::Fault::EvictsResults,
 ];
 
-struct Draw {
+struct Generator {
     random: rngs::StdRng,
     edges: usize,
     servers: usize,
-    // Since an entry has one fault at a time.
-    edge_free: Vec<time::Duration>,
+    // Time at which the last fault of each entry ends; an entry has one fault at a time.
+    free_at: Vec<time::Duration>,
     steps: Vec<Step>,
 }
 
 impl Plan {
-    /// Draws the plan of `seed`, whose faults begin within `length`.
+    /// Draws the plan of `seed`, whose faults start within `length`.
     pub fn draw(seed: u64, length: time::Duration) -> Plan {
         let mut random = rngs::StdRng::seed_from_u64(seed);
         let sizes = standin::Sizes {
@@ -119,39 +119,40 @@
         };
         let callers = random.random_range(6..25);
         let servers = sizes.plain + sizes.prefill + sizes.decode;
-        let edge_free = vec![time::Duration::ZERO; sizes.edges];
-        let mut draw = Draw { random, edges: sizes.edges, servers, edge_free, steps: Vec::new() };
+        let free_at = vec![time::Duration::ZERO; sizes.edges];
+        let mut generator =
+            Generator { random, edges: sizes.edges, servers, free_at, steps: Vec::new() };
         let mut at = time::Duration::ZERO;
         loop {
-            at += draw.millis(GAP);
+            at += generator.millis(FAULT_INTERVAL_MS);
             if at >= length {
                 break;
             }
-            draw.fault(at);
+            generator.draw_fault(at);
         }
-        draw.steps.sort_by_key(|step| step.at);
-        Plan { seed, length, sizes, callers, steps: draw.steps }
+        generator.steps.sort_by_key(|step| step.at);
+        Plan { seed, length, sizes, callers, steps: generator.steps }
     }
 }
 
-impl Draw {
+impl Generator {
     fn millis(&mut self, range: std::ops::Range<u64>) -> time::Duration {
         time::Duration::from_millis(self.random.random_range(range))
     }
 
-    fn pick<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.random.random_range(0..all.len())]
+    fn pick<T: Copy>(&mut self, choices: &[T]) -> T {
+        choices[self.random.random_range(0..choices.len())]
     }
 
     fn push(&mut self, at: time::Duration, change: Change) {
         self.steps.push(Step { at, change });
     }
 
-    fn fault(&mut self, at: time::Duration) {
-        let until = at + self.millis(SPAN);
+    fn draw_fault(&mut self, at: time::Duration) {
+        let until = at + self.millis(FAULT_DURATION_MS);
         let server = self.random.random_range(0..self.servers);
         match self.random.random_range(0..15) {
-            0..=2 => self.edge_fault(at, until),
+            0..=2 => self.draw_edge_fault(at, until),
             3 => {
                 let mode = self.pick(&STORE_MODES);
                 self.push(at, Change::Store(mode));
@@ -172,7 +173,7 @@
             10 => self.push(at, Change::Config),
             11 => self.push(at, Change::RestartServer(server)),
             12 => self.push(at, Change::MoveServer(server)),
-            13 => self.all_killed(at, until),
+            13 => self.kill_all(at, until),
             _ => {
                 let change = self.pick(&[
                     Change::Drain(server, true),
@@ -185,30 +186,30 @@
         }
     }
 
-    fn all_killed(&mut self, at: time::Duration, until: time::Duration) {
-        if self.edge_free.iter().any(|free| *free > at) {
+    fn kill_all(&mut self, at: time::Duration, until: time::Duration) {
+        if self.free_at.iter().any(|free_at| *free_at > at) {
             return;
         }
         for edge in 0..self.edges {
             self.push(at, Change::Kill(edge));
             self.push(until, Change::Start(edge));
-            self.edge_free[edge] = until;
+            self.free_at[edge] = until;
         }
     }
 
-    fn edge_fault(&mut self, at: time::Duration, until: time::Duration) {
+    fn draw_edge_fault(&mut self, at: time::Duration, until: time::Duration) {
         let edge = self.random.random_range(0..self.edges);
-        if self.edge_free[edge] > at {
+        if self.free_at[edge] > at {
             return;
         }
-        let (begin, end, until) = match self.random.random_range(0..4) {
+        let (start, end, until) = match self.random.random_range(0..4) {
             0 => (Change::Kill(edge), Change::Start(edge), until),
             1 => (Change::Freeze(edge), Change::Resume(edge), until),
-            2 => (Change::Stop(edge), Change::Start(edge), at + STOP_SPAN),
+            2 => (Change::Stop(edge), Change::Start(edge), at + STOP_DURATION),
             _ => (Change::Reload(edge), Change::Reload(edge), until),
         };
-        self.push(at, begin);
+        self.push(at, start);
         self.push(until, end);
-        self.edge_free[edge] = until;
+        self.free_at[edge] = until;
     }
 }
