--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -102,10 +102,10 @@
     let headers = [("host", host.as_str())];
     let call = call::Call { path: "/", attempt: &attempt, body: "", headers: &headers };
     let reply = call.send(client, Method::GET, shared.edges[edge]).await.ok()?;
-    let in_force = match reply.status {
+    let applied = match reply.status {
         200 => true,
         404 => false,
         _ => return None,
     };
-    Some(record::ConfigProbe { edge, at: time::Instant::now(), version, in_force })
+    Some(record::ConfigProbe { edge, at: time::Instant::now(), version, applied })
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -147,7 +147,7 @@
     let mut violations = Vec::new();
     for probe in &history.probes {
         let known = newest.get(&probe.edge).copied();
-        if probe.in_force {
+        if probe.applied {
             let version = known.map_or(0, |(_, version)| version).max(probe.version);
             newest.insert(probe.edge, (probe.at, version));
             continue;
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,19 +1,19 @@
-//! What callers saw, and what was done to entries meanwhile.
+//! History of a soak: the requests of callers, config probes and faults of entries.
 
 use std::time;
 
 use rhubarb_e2e::{call, standin};
 
-/// What a request asks for.
+/// Kind of a request, which decides its route and how often it may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A plain call that may be repeated.
+    /// Plain request that may be retried.
     Safe,
-    /// A plain call that runs at most once.
+    /// Plain request that runs at most once.
     Unsafe,
-    /// A stream that may go on at another server.
+    /// Stream that may resume on another server.
     Resumable,
-    /// A stream that runs at most once.
+    /// Stream that runs at most once.
     Stream,
 }
 
@@ -21,7 +21,7 @@
 pub const KINDS: [Kind; 4] = [Kind::Safe, Kind::Unsafe, Kind::Resumable, Kind::Stream];
 
 impl Kind {
-    /// Path of its requests.
+    /// Path of the requests of this kind.
     pub fn path(self) -> &'static str {
         match self {
             Kind::Safe => standin::SAFE,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Most servers at which one request may run.
+    /// Maximum number of servers on which one request may run.
     pub fn max_runs(self) -> u32 {
         match self {
             Kind::Safe | Kind::Resumable => standin::MAX_ATTEMPTS,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Longest time to its answer.
+    /// Timeout of the route.
     pub fn timeout(self) -> time::Duration {
         match self {
             Kind::Safe | Kind::Unsafe => standin::PLAIN_LIMIT,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Body of the whole answer to a request with `body`.
+    /// Complete response body to a request with `body`.
     pub fn expected_body(self, body: &str) -> String {
         match self {
             Kind::Safe | Kind::Unsafe => body.to_string(),
@@ -59,24 +59,24 @@
 /// How a request ended for its caller.
 #[derive(Clone, Debug)]
 pub enum End {
-    /// An answer came, whole or broken off.
+    /// A response arrived, complete or truncated.
     Answer(call::Reply),
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The connection ended without an answer.
+    /// The connection failed without a response.
     ConnectionLost(String),
-    /// The caller left before the answer.
+    /// The caller closed the connection before the response was complete.
     Abandoned,
 }
 
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Id of the request.
+    /// Attempt id of the request.
     pub attempt: String,
-    /// Kind.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Entry that got it.
+    /// Index of the entry that received it.
     pub edge: usize,
     /// When it was sent.
     pub began: time::Instant,
@@ -86,45 +86,45 @@
     pub end: End,
 }
 
-/// Whether a version of the config was in force at an entry.
+/// Result of a probe whether an entry had applied a version of the config.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigProbe {
-    /// Entry.
+    /// Index of the entry.
     pub edge: usize,
-    /// When the answer came.
+    /// When the response arrived.
     pub at: time::Instant,
-    /// Version that was asked for.
+    /// Version that was probed.
     pub version: u64,
-    /// Whether it was in force.
-    pub in_force: bool,
+    /// Whether the entry had applied it.
+    pub applied: bool,
 }
 
-/// What was done to an entry.
+/// Fault of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryFault {
-    /// It was killed.
+    /// Killed with SIGKILL.
     Killed,
-    /// It was frozen.
+    /// Frozen with SIGSTOP.
     Frozen,
-    /// It was told to stop.
+    /// Stopped gracefully with SIGTERM.
     Stopped,
 }
 
-/// A time in which an entry was in fault.
+/// Period in which an entry had a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// Entry.
+    /// Index of the entry.
     pub edge: usize,
-    /// What was done.
+    /// The fault.
     pub fault: EntryFault,
-    /// When it began.
+    /// When the fault started.
     pub from: time::Instant,
-    /// When the entry was as before; `None` while it is not.
+    /// When the entry had recovered; `None` until then.
     pub until: Option<time::Instant>,
 }
 
 impl FaultWindow {
-    /// Whether the window overlaps the time of `record`.
+    /// Whether the window is of the same entry as `record` and overlaps it in time.
     pub fn overlaps(&self, record: &Record) -> bool {
         self.edge == record.edge
             && self.from <= record.ended
@@ -132,13 +132,13 @@
     }
 }
 
-/// Everything that was seen.
+/// Everything that was observed in a soak.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests.
     pub records: Vec<Record>,
-    /// Looks at the config in force.
+    /// Probes of the applied config.
     pub probes: Vec<ConfigProbe>,
-    /// Troubles of entries.
+    /// Faults of entries.
     pub windows: Vec<FaultWindow>,
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -94,7 +94,7 @@
     let client = client::Client::new();
     let version = injector.shared.version.load(atomic::Ordering::Relaxed);
     let probe = callers::look(&injector.shared, &client, edge, version).await;
-    if !probe.is_some_and(|probe| probe.in_force) {
+    if !probe.is_some_and(|probe| probe.applied) {
         return Err(format!("entry {edge} does not have version {version}"));
     }
     for kind in record::KINDS {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -118,11 +118,11 @@
 fn config_undone() {
     let start = time::Instant::now();
     let at = |millis| start + time::Duration::from_millis(millis);
-    let probe = |millis, version, in_force| record::ConfigProbe {
+    let probe = |millis, version, applied| record::ConfigProbe {
         edge: 0,
         at: at(millis),
         version,
-        in_force,
+        applied,
     };
     let undone = |probes: &[record::ConfigProbe], windows: &[record::FaultWindow]| {
         let (probes, windows) = (probes.to_vec(), windows.to_vec());
