--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: each sends one request after another, and some leave early.
+//! Callers of a soak, which send requests one after another and abandon some of them.
 
 use std::{net, sync, sync::atomic, time};
 
@@ -10,25 +10,25 @@
 
 use crate::record;
 
-/// What callers and their observer share.
+/// State shared by the callers, the probes and the fault injector.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) history: sync::Mutex<record::History>,
     pub(crate) edges: Vec<net::SocketAddr>,
-    /// Newest version of the config in the store.
+    /// Latest version of the config in the store.
     pub(crate) version: atomic::AtomicU64,
     pub(crate) stopped: atomic::AtomicBool,
     pub(crate) seq: atomic::AtomicU64,
 }
 
-/// Part of the requests whose caller leaves early.
-const LEAVE_SHARE: f64 = 0.1;
-/// Time after which such a caller leaves, in milliseconds.
-const LEAVE_AFTER: std::ops::Range<u64> = 10..400;
-/// Pause between two requests of a caller, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 1..40;
-/// Time between two looks at the config of an entry.
-const LOOK_EVERY: time::Duration = time::Duration::from_millis(150);
+/// Share of the requests that their caller abandons.
+const ABANDON_RATIO: f64 = 0.1;
+/// Time after which a caller abandons a request.
+const ABANDON_AFTER_MS: std::ops::Range<u64> = 10..400;
+/// Pause between two requests of a caller.
+const PAUSE_MS: std::ops::Range<u64> = 1..40;
+/// Interval between two probes of the config of an entry.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(150);
 
 impl Shared {
     pub(crate) fn history(&self) -> sync::MutexGuard<'_, record::History> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends requests until told to stop.
+/// Sends requests until `shared.stopped` is set.
 pub(crate) async fn run(shared: sync::Arc<Shared>) {
     let client = client::Client::new();
     while !shared.is_stopped() {
@@ -48,12 +48,12 @@
         let kind = record::KINDS[rand::random_range(0..record::KINDS.len())];
         let record = call(&shared, &client, edge, kind).await;
         shared.history().records.push(record);
-        let pause = rand::rng().random_range(PAUSE);
+        let pause = rand::rng().random_range(PAUSE_MS);
         tokio::time::sleep(time::Duration::from_millis(pause)).await;
     }
 }
 
-/// Sends one request and waits for its end.
+/// Sends one request and waits until it ends.
 pub(crate) async fn call(
     shared: &Shared,
     client: &client::Client,
@@ -64,8 +64,8 @@
     let body = format!("body of {attempt}");
     let call = call::Call { path: kind.path(), attempt: &attempt, body: &body, headers: &[] };
     let began = time::Instant::now();
-    let leaves = rand::random_bool(LEAVE_SHARE);
-    let after = time::Duration::from_millis(rand::rng().random_range(LEAVE_AFTER));
+    let abandons = rand::random_bool(ABANDON_RATIO);
+    let abandon_after = time::Duration::from_millis(rand::rng().random_range(ABANDON_AFTER_MS));
     let sending = call.send(client, Method::POST, shared.edges[edge]);
     let end = tokio::select! {
         reply = sending => match reply {
@@ -73,25 +73,25 @@
             Err(client::CallError::Unreachable(_)) => record::End::Unreachable,
             Err(err) => record::End::ConnectionLost(err.to_string()),
         },
-        () = tokio::time::sleep(after), if leaves => record::End::Abandoned,
+        () = tokio::time::sleep(abandon_after), if abandons => record::End::Abandoned,
     };
     record::Record { attempt, kind, edge, began, ended: time::Instant::now(), end }
 }
 
-/// Looks again and again whether an entry has the newest config, until told to stop.
-pub(crate) async fn observe(shared: sync::Arc<Shared>, edge: usize) {
+/// Probes whether an entry has applied the latest config, until `shared.stopped` is set.
+pub(crate) async fn probe_loop(shared: sync::Arc<Shared>, edge: usize) {
     let client = client::Client::new();
     while !shared.is_stopped() {
         let version = shared.version.load(atomic::Ordering::Relaxed);
-        if let Some(probe) = look(&shared, &client, edge, version).await {
+        if let Some(probe) = probe_config(&shared, &client, edge, version).await {
             shared.history().probes.push(probe);
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// Asks for the route that came with `version`; `None` if the answer does not tell.
-pub(crate) async fn look(
+/// Requests the route that `version` added; `None` if the response is inconclusive.
+pub(crate) async fn probe_config(
     shared: &Shared,
     client: &client::Client,
     edge: usize,
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -54,7 +54,7 @@
         (0..plan.callers).map(|_| tokio::spawn(callers::run(shared.clone()))).collect();
     tasks.extend((0..plan.sizes.edges).map(|edge| {
         let shared = shared.clone();
-        tokio::spawn(callers::observe(shared, edge))
+        tokio::spawn(callers::probe_loop(shared, edge))
     }));
     let mut injector = injector::Injector { site, shared: shared.clone(), violations: Vec::new() };
     let start = tokio::time::Instant::now();
@@ -93,7 +93,7 @@
     }
     let client = client::Client::new();
     let version = injector.shared.version.load(atomic::Ordering::Relaxed);
-    let probe = callers::look(&injector.shared, &client, edge, version).await;
+    let probe = callers::probe_config(&injector.shared, &client, edge, version).await;
     if !probe.is_some_and(|probe| probe.applied) {
         return Err(format!("entry {edge} does not have version {version}"));
     }
