--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises that a soak checks, from what callers and servers saw.
+//! Invariants that a soak checks against the history of callers and the runs on servers.
 
 use std::{collections, fmt, time};
 
@@ -6,28 +6,28 @@
 
 use crate::record;
 
-/// A promise.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A request that may not be repeated runs at most once, others at most as often as allowed.
+    /// A request runs at most as often as its kind allows: once, unless it may be retried.
     RunCount,
-    /// A refusal that says that nothing ran is true.
+    /// A request that was rejected as not run did not run.
     NotRun,
-    /// Such a refusal tells when to come back.
+    /// Such a rejection has a `Retry-After` header.
     RetryAfter,
-    /// An answer is the caller's own, and whole or visibly broken off.
+    /// A response belongs to its request, and is complete or visibly truncated.
     Intact,
-    /// An entry that is well answers each request.
+    /// A healthy entry answers each request.
     Answered,
-    /// It does so in time.
+    /// A healthy entry answers within the timeout of the route.
     Deadline,
-    /// An entry that is told to stop ends what it has begun, and then ends well.
+    /// A stopping entry finishes the requests it has accepted and exits with code 0.
     GracefulStop,
-    /// A config that was in force stays so.
+    /// An entry never goes back to an older config.
     NoRollback,
-    /// All is as before soon after the last fault.
+    /// Each entry serves all kinds of requests again soon after the last fault.
     Recovered,
-    /// Nothing is kept at an engine for a request that has ended.
+    /// Engines hold no memory for requests that have ended.
     NoLeak,
 }
 
@@ -46,22 +46,22 @@
     }
 }
 
-/// How often each request ran, over all servers.
+/// Runs of each attempt id, over all servers.
 pub type Runs = collections::BTreeMap<String, u32>;
 
-/// Time beyond a route's limit for the way to the caller on a busy machine.
-const SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Statuses that promise that a request did not run.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Time beyond the timeout of a route, for delays on a busy machine.
+const TIMEOUT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
+/// Statuses of an entry that report that a request did not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Checks all requests and looks.
+/// Checks the whole history and returns all violations.
 pub fn check(history: &record::History, runs: &Runs) -> Vec<Violation> {
     let mut violations = Vec::new();
     for record in &history.records {
         violations.extend(check_runs(record, runs));
         match &record.end {
             record::End::Answer(reply) => {
-                violations.extend(check_answer(history, record, reply, runs))
+                violations.extend(check_answer(history, record, reply, runs));
             }
             record::End::Unreachable | record::End::ConnectionLost(_) => {
                 violations.extend(check_unanswered(history, record));
@@ -73,22 +73,23 @@
     violations
 }
 
-fn violation(invariant: Invariant, record: &record::Record, what: &str) -> Violation {
+fn violation(invariant: Invariant, record: &record::Record, reason: &str) -> Violation {
     let record::Record { attempt, kind, edge, end, .. } = record;
-    let taken = record.ended - record.began;
+    let duration = record.ended - record.began;
     let end = match end {
         record::End::Answer(reply) => format!("{} {:?}", reply.status, reply.body),
         other => format!("{other:?}"),
     };
-    let detail = format!("{attempt} ({kind:?}) at entry {edge}, {taken:?}: {what}; {end}");
+    let detail = format!("{attempt} ({kind:?}) at entry {edge}, {duration:?}: {reason}; {end}");
     Violation { invariant, detail }
 }
 
 fn check_runs(record: &record::Record, runs: &Runs) -> Option<Violation> {
     let ran = runs.get(&record.attempt).copied().unwrap_or(0);
-    let most = record.kind.max_runs();
-    (ran > most)
-        .then(|| violation(Invariant::RunCount, record, &format!("ran {ran} times, not {most}")))
+    let allowed = record.kind.max_runs();
+    (ran > allowed).then(|| {
+        violation(Invariant::RunCount, record, &format!("ran {ran} times, {allowed} allowed"))
+    })
 }
 
 fn check_answer(
@@ -98,47 +99,44 @@
     runs: &Runs,
 ) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let is_refusal = reply.is_own() && NOT_RUN.contains(&reply.status);
-    if is_refusal && runs.contains_key(&record.attempt) {
-        violations.push(violation(Invariant::NotRun, record, "it ran"));
+    let is_rejection = reply.is_own() && NOT_RUN_STATUSES.contains(&reply.status);
+    if is_rejection && runs.contains_key(&record.attempt) {
+        violations.push(violation(Invariant::NotRun, record, "reported as not run, but it ran"));
     }
-    if is_refusal && !reply.headers.contains_key(hyper::header::RETRY_AFTER) {
-        violations.push(violation(Invariant::RetryAfter, record, "no time to come back"));
+    if is_rejection && !reply.headers.contains_key(hyper::header::RETRY_AFTER) {
+        violations.push(violation(Invariant::RetryAfter, record, "no Retry-After header"));
     }
     let body = format!("body of {}", record.attempt);
-    let is_whole = reply.body.as_ref() == Some(&record.kind.expected_body(&body));
+    let is_complete = reply.body.as_ref() == Some(&record.kind.expected_body(&body));
     let is_plain = matches!(record.kind, record::Kind::Safe | record::Kind::Unsafe);
-    // A stream may be broken off, so that its caller sees it; a plain answer is passed whole.
-    let may_break = !is_plain || is_in_trouble(history, record);
-    if reply.status == 200 && !is_whole && !(reply.body.is_none() && may_break) {
-        violations.push(violation(
-            Invariant::Intact,
-            record,
-            "not the whole answer to this request",
-        ));
+    // A stream may be truncated visibly; a healthy entry forwards plain responses complete.
+    let may_truncate = !is_plain || overlaps_fault(history, record);
+    if reply.status == 200 && !is_complete && !(reply.body.is_none() && may_truncate) {
+        violations.push(violation(Invariant::Intact, record, "unexpected response body"));
     }
-    if reply.taken > record.kind.timeout() + SLACK && !is_in_trouble(history, record) {
-        violations.push(violation(Invariant::Deadline, record, "too late"));
+    if reply.taken > record.kind.timeout() + TIMEOUT_MARGIN && !overlaps_fault(history, record) {
+        violations.push(violation(Invariant::Deadline, record, "exceeded the timeout"));
     }
     violations
 }
 
-fn is_in_trouble(history: &record::History, record: &record::Record) -> bool {
+fn overlaps_fault(history: &record::History, record: &record::Record) -> bool {
     history.windows.iter().any(|window| window.overlaps(record))
 }
 
-// A stop excuses only requests that were sent after it, and may reach a listener that is gone.
+// A graceful stop excuses only requests that were sent after it, when the listener may be closed.
+// Any other fault excuses all requests that overlap it.
 fn check_unanswered(history: &record::History, record: &record::Record) -> Option<Violation> {
     let mut windows = history.windows.iter().filter(|window| window.overlaps(record));
     let is_excused = windows.clone().any(|window| window.fault != record::EntryFault::Stopped);
-    let was_before = |window: &record::FaultWindow| record.began < window.from;
+    let sent_before = |window: &record::FaultWindow| record.began < window.from;
     if is_excused {
         return None;
     }
-    if windows.clone().any(was_before) {
-        return Some(violation(Invariant::GracefulStop, record, "cut by a planned stop"));
+    if windows.clone().any(sent_before) {
+        return Some(violation(Invariant::GracefulStop, record, "interrupted by a graceful stop"));
     }
-    windows.next().is_none().then(|| violation(Invariant::Answered, record, "no answer"))
+    windows.next().is_none().then(|| violation(Invariant::Answered, record, "no response"))
 }
 
 fn check_probes(history: &record::History) -> Vec<Violation> {
@@ -155,19 +153,19 @@
         let Some((at, version)) = known.filter(|(_, version)| *version >= probe.version) else {
             continue;
         };
-        let ended = |window: &record::FaultWindow| {
+        let restarted = |window: &record::FaultWindow| {
             window.edge == probe.edge
                 && window.fault != record::EntryFault::Frozen
                 && window.from <= probe.at
                 && window.until.is_none_or(|until| until >= at)
         };
-        // An entry that was started again may know less for a while.
-        if history.windows.iter().any(ended) {
+        // A restarted entry may have an older config for a while.
+        if history.windows.iter().any(restarted) {
             newest.remove(&probe.edge);
             continue;
         }
         let detail = format!(
-            "entry {}: version {version} was in force, {} is not",
+            "entry {}: version {version} was applied, {} is not",
             probe.edge, probe.version
         );
         violations.push(Violation { invariant: Invariant::NoRollback, detail });
