--- a/crates/soak/src/injector.rs
+++ b/crates/soak/src/injector.rs
@@ -1,4 +1,4 @@
-//! Carries out the changes of a plan, and notes what they do to entries.
+//! Fault injector: applies the changes of a plan and records the faults of entries.
 
 use std::{sync, sync::atomic, time};
 
@@ -9,7 +9,7 @@
 
 use crate::{callers, check, plan, record};
 
-/// A deployment and what has been done to it.
+/// Applies changes to a deployment.
 #[derive(Debug)]
 pub(crate) struct Injector {
     pub(crate) site: standin::Site,
@@ -17,39 +17,39 @@
     pub(crate) violations: Vec<check::Violation>,
 }
 
-/// The longest that an entry may take to stop: its grace of 8 s.
+/// Time limit of a graceful stop: the grace period of 8 s and a margin.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(10);
-const STEP: time::Duration = time::Duration::from_millis(50);
-/// Time in which a process that was started listens.
-const START: time::Duration = time::Duration::from_secs(1);
-/// Time in which an entry that goes on again settles what came meanwhile.
-const SETTLE: time::Duration = time::Duration::from_millis(500);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
+/// Time after which a started process listens.
+const START_TIME: time::Duration = time::Duration::from_secs(1);
+/// Time in which a resumed entry handles the requests that arrived while it was frozen.
+const RESUME_TIME: time::Duration = time::Duration::from_millis(500);
 
 impl Injector {
-    /// Carries out one change.
+    /// Applies one change.
     pub(crate) async fn apply(&mut self, change: plan::Change) -> anyhow::Result<()> {
         match change {
             plan::Change::Kill(edge) => {
-                self.open(edge, record::EntryFault::Killed);
+                self.open_window(edge, record::EntryFault::Killed);
                 self.site.edges[edge].kill();
             }
             plan::Change::Start(edge) => self.start(edge).await?,
             plan::Change::Freeze(edge) => {
-                self.open(edge, record::EntryFault::Frozen);
+                self.open_window(edge, record::EntryFault::Frozen);
                 self.site.edges[edge].signal(Signal::STOP);
             }
             plan::Change::Resume(edge) => {
                 self.site.edges[edge].signal(Signal::CONT);
-                self.close(edge, SETTLE);
+                self.close_windows(edge, RESUME_TIME);
             }
             plan::Change::Stop(edge) => {
-                self.open(edge, record::EntryFault::Stopped);
+                self.open_window(edge, record::EntryFault::Stopped);
                 self.site.edges[edge].signal(Signal::TERM);
             }
             plan::Change::Reload(edge) => self.site.edges[edge].signal(Signal::HUP),
             plan::Change::Store(mode) => self.site.store.set_mode(mode),
             plan::Change::Compact => self.site.store.compact(),
-            plan::Change::Config => self.next_config(),
+            plan::Change::Config => self.update_config(),
             plan::Change::RestartServer(number) => {
                 let server = self.site.servers()[number].clone();
                 server.restart();
@@ -61,12 +61,12 @@
                 self.site.move_server(&server).await?;
                 self.site.announce(&server, "ready");
             }
-            server => self.change_server(server),
+            change => self.apply_to_server(change),
         }
         Ok(())
     }
 
-    fn change_server(&self, change: plan::Change) {
+    fn apply_to_server(&self, change: plan::Change) {
         let servers = self.site.servers();
         let server = |number: usize| &servers[number];
         let relay = |number: usize| &self.site.relays[&servers[number].id];
@@ -78,8 +78,8 @@
             }
             plan::Change::CloseConnections(number) => relay(number).cut(),
             plan::Change::Blackhole(number) => relay(number).silence(),
-            plan::Change::Drain(number, is_leaving) => {
-                let state = if is_leaving { "draining" } else { "ready" };
+            plan::Change::Drain(number, is_draining) => {
+                let state = if is_draining { "draining" } else { "ready" };
                 self.site.announce(server(number), state);
             }
             plan::Change::Expire(number) => {
@@ -92,17 +92,17 @@
         }
     }
 
-    fn next_config(&self) {
+    fn update_config(&self) {
         let version = self.shared.version.fetch_add(1, atomic::Ordering::Relaxed) + 1;
         self.site.store.put("op", "config", self.site.config(version).to_string());
     }
 
     async fn start(&mut self, edge: usize) -> anyhow::Result<()> {
         if self.is_stopping(edge) {
-            self.wait_stop(edge).await;
+            self.wait_stopped(edge).await;
         }
         self.site.restart_edge(edge)?;
-        self.close(edge, START);
+        self.close_windows(edge, START_TIME);
         Ok(())
     }
 
@@ -112,17 +112,19 @@
         open.any(|window| window.edge == edge && window.fault == record::EntryFault::Stopped)
     }
 
-    async fn wait_stop(&mut self, edge: usize) {
-        let until = time::Instant::now() + STOP_LIMIT;
+    // Waits until the entry exits. Records a violation if that takes longer than `STOP_LIMIT` or the
+    // exit code is not 0.
+    async fn wait_stopped(&mut self, edge: usize) {
+        let deadline = time::Instant::now() + STOP_LIMIT;
         loop {
             let detail = match self.site.edges[edge].exit_code() {
                 Some(0) => return,
-                Some(code) => format!("entry {edge} ended with {code} when told to stop"),
-                None if time::Instant::now() < until => {
-                    tokio::time::sleep(STEP).await;
+                Some(code) => format!("entry {edge} exited with code {code} after a graceful stop"),
+                None if time::Instant::now() < deadline => {
+                    tokio::time::sleep(POLL_INTERVAL).await;
                     continue;
                 }
-                None => format!("entry {edge} did not stop"),
+                None => format!("entry {edge} did not stop within {STOP_LIMIT:?}"),
             };
             self.violations
                 .push(check::Violation { invariant: check::Invariant::GracefulStop, detail });
@@ -130,28 +132,30 @@
         }
     }
 
-    fn open(&self, edge: usize, fault: record::EntryFault) {
+    // Opens a fault window of the entry.
+    fn open_window(&self, edge: usize, fault: record::EntryFault) {
         let window = record::FaultWindow { edge, fault, from: time::Instant::now(), until: None };
         self.shared.history().windows.push(window);
     }
 
-    fn close(&self, edge: usize, settle: time::Duration) {
-        let until = Some(time::Instant::now() + settle);
+    // Closes the open fault windows of the entry after `delay`.
+    fn close_windows(&self, edge: usize, delay: time::Duration) {
+        let until = Some(time::Instant::now() + delay);
         let mut history = self.shared.history();
         for window in history.windows.iter_mut().filter(|window| window.edge == edge) {
             window.until = window.until.or(until);
         }
     }
 
-    /// Ends all faults that are still open.
-    pub(crate) async fn heal(&mut self) -> anyhow::Result<()> {
+    /// Clears the faults of the store and of all servers, and writes the next config.
+    pub(crate) async fn clear_faults(&mut self) -> anyhow::Result<()> {
         self.apply(plan::Change::Store(store::Mode::Up)).await?;
         for number in 0..self.site.servers().len() {
             self.apply(plan::Change::ServerFault(number, backend::Fault::None)).await?;
             self.apply(plan::Change::HoldTraffic(number, false)).await?;
             self.apply(plan::Change::Drain(number, false)).await?;
         }
-        self.next_config();
+        self.update_config();
         Ok(())
     }
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -62,7 +62,7 @@
         tokio::time::sleep_until(start + step.at).await;
         injector.apply(step.change).await?;
     }
-    injector.heal().await?;
+    injector.clear_faults().await?;
     wait_recovered(&mut injector).await;
     shared.stopped.store(true, atomic::Ordering::Relaxed);
     for task in tasks {
