--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Plays a plan against a deployment of real entries.
+//! Runs a plan against a deployment whose entries are real processes.
 
 use std::{fmt, sync, sync::atomic, time};
 
@@ -7,37 +7,37 @@
 
 use crate::{callers, check, injector, plan, record};
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Those with a server's answer.
+    /// Number of requests that a server answered.
     pub answered: usize,
-    /// Those that were refused as not run.
-    pub refused: usize,
-    /// Promises that were broken.
+    /// Number of requests that an entry rejected with status 503.
+    pub rejected: usize,
+    /// Violated invariants.
     pub violations: Vec<check::Violation>,
-    /// Logs of the entries, if a promise was broken.
+    /// Logs of the entries; empty if no invariant was violated.
     pub logs: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Report { requests, answered, refused, violations, .. } = self;
-        write!(f, "{requests} requests, {answered} answered, {refused} refused")?;
-        write!(f, ", {} promises broken", violations.len())?;
+        let Report { requests, answered, rejected, violations, .. } = self;
+        write!(f, "{requests} requests, {answered} answered, {rejected} rejected")?;
+        write!(f, ", {} violations", violations.len())?;
         violations.iter().try_for_each(|violation| write!(f, "\n  {violation}"))
     }
 }
 
-/// Time for all to be as before after the last fault; the platform's `recover_s`.
-const RECOVER: time::Duration = time::Duration::from_secs(15);
-/// Time for engines to free what the last callers left, and what entries that were killed held.
+/// Time limit for recovery after the last fault; `recover_s` of the platform.
+const RECOVERY_LIMIT: time::Duration = time::Duration::from_secs(15);
+/// Time limit for engines to free the memory of abandoned requests and of killed entries.
 const FREE_LIMIT: time::Duration = time::Duration::from_secs(8);
-const STEP: time::Duration = time::Duration::from_millis(100);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Plays `plan`.
+/// Runs `plan` and checks the invariants.
 ///
 /// # Errors
 /// Returns an error if the deployment does not start.
@@ -68,26 +68,26 @@
     for task in tasks {
         task.await?;
     }
-    wait_free(&mut injector).await;
-    Ok(report(injector))
+    wait_freed(&mut injector).await;
+    Ok(build_report(injector))
 }
 
 async fn wait_recovered(injector: &mut injector::Injector) {
-    let until = time::Instant::now() + RECOVER;
+    let deadline = time::Instant::now() + RECOVERY_LIMIT;
     for edge in 0..injector.site.edges.len() {
-        while let Err(detail) = is_well(injector, edge).await {
-            if time::Instant::now() >= until {
+        while let Err(detail) = check_serving(injector, edge).await {
+            if time::Instant::now() >= deadline {
                 let invariant = check::Invariant::Recovered;
                 injector.violations.push(check::Violation { invariant, detail });
                 break;
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-// Whether an entry is ready, has the newest config, and serves each kind of request.
-async fn is_well(injector: &injector::Injector, edge: usize) -> Result<(), String> {
+// Checks that an entry is ready, has the latest config, and serves each kind of request.
+async fn check_serving(injector: &injector::Injector, edge: usize) -> Result<(), String> {
     if !injector.site.edges[edge].is_ready().await {
         return Err(format!("entry {edge} is not ready"));
     }
@@ -95,7 +95,7 @@
     let version = injector.shared.version.load(atomic::Ordering::Relaxed);
     let probe = callers::probe_config(&injector.shared, &client, edge, version).await;
     if !probe.is_some_and(|probe| probe.applied) {
-        return Err(format!("entry {edge} does not have version {version}"));
+        return Err(format!("entry {edge} does not have config version {version}"));
     }
     for kind in record::KINDS {
         let record = callers::call(&injector.shared, &client, edge, kind).await;
@@ -113,21 +113,22 @@
     Ok(())
 }
 
-async fn wait_free(injector: &mut injector::Injector) {
-    let until = time::Instant::now() + FREE_LIMIT;
+async fn wait_freed(injector: &mut injector::Injector) {
+    let deadline = time::Instant::now() + FREE_LIMIT;
     while injector.site.kept_lastingly() > 0 {
-        if time::Instant::now() >= until {
-            let detail = format!("{} pieces of engine memory", injector.site.kept_lastingly());
+        if time::Instant::now() >= deadline {
+            let kept = injector.site.kept_lastingly();
+            let detail = format!("{kept} holds, prefill results or requests remain at engines");
             injector
                 .violations
                 .push(check::Violation { invariant: check::Invariant::NoLeak, detail });
             return;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn report(injector: injector::Injector) -> Report {
+fn build_report(injector: injector::Injector) -> Report {
     let mut runs = check::Runs::new();
     for server in injector.site.servers() {
         for (attempt, count) in server.runs() {
@@ -148,7 +149,7 @@
     Report {
         requests: history.records.len(),
         answered: replies.clone().filter(|reply| !reply.is_own()).count(),
-        refused: replies.filter(|reply| reply.is_own() && reply.status == 503).count(),
+        rejected: replies.filter(|reply| reply.is_own() && reply.status == 503).count(),
         violations,
         logs,
     }
