--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays soaks from the command line.
+//! Runs soaks from the command line.
 
 use std::{fs, path, process, time};
 
@@ -47,7 +47,7 @@
         println!("seed {seed}: {report}");
         if !report.violations.is_empty() {
             failed.push(seed);
-            keep(&options.keep, &plan, &report)?;
+            save_logs(&options.keep, &plan, &report)?;
         }
     }
     if failed.is_empty() {
@@ -55,12 +55,12 @@
     }
     let dir = options.keep.display();
     eprintln!(
-        "promises broken with seeds {failed:?}; logs are in {dir}; play one again with --seed"
+        "invariants violated with seeds {failed:?}; logs are in {dir}; repeat one with --seed"
     );
     Ok(process::ExitCode::FAILURE)
 }
 
-fn keep(dir: &path::Path, plan: &plan::Plan, report: &soak::Report) -> anyhow::Result<()> {
+fn save_logs(dir: &path::Path, plan: &plan::Plan, report: &soak::Report) -> anyhow::Result<()> {
     let dir = dir.join(plan.seed.to_string());
     fs::create_dir_all(&dir)?;
     let steps: Vec<_> = plan.steps.iter().map(|step| format!("{step:?}\n")).collect();
