--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,4 +1,4 @@
-//! Soak of entries on the users' platform: real processes, drawn faults, checked promises.
+//! Soak test of entries on the users' platform: real processes, random faults, checked invariants.
 //!
 //! ```
 //! use rhubarb_soak::plan;
