--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short soaks with fixed seeds; long ones are played by hand with `rhubarb-soak`.
+//! Short soaks with fixed seeds; longer ones are run by hand with `rhubarb-soak`.
 
 use std::time;
 
