--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -61,7 +61,7 @@
 /// Fault of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
     /// Rejects the request and reports that it was not executed.
@@ -70,7 +70,7 @@
     Fails,
     /// Executes the request and sends no response or event.
     Hangs,
-    /// Executes the request and closes the connection without a whole response.
+    /// Executes the request and aborts the connection before the response is complete.
     Resets,
     /// Returns the id of another attempt.
     OtherId,
