--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -74,6 +74,6 @@
 impl Reply {
     /// Whether the entry itself generated the response, rather than a backend server.
     pub fn is_local(&self) -> bool {
-        !caller::is_servers(&self.headers)
+        !caller::is_from_server(&self.headers)
     }
 }
--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -298,7 +298,8 @@
 
     fn outstanding_since(&self, oldest: Option<time::Instant>) -> usize {
         let engines = self.prefill.iter().chain(&self.decode);
-        let on_engines = engines.map(|engine| engine.kept(oldest) + engine.running() as usize);
+        let on_engines =
+            engines.map(|engine| engine.hold_count(oldest) + engine.running() as usize);
         let handles = rhubarb_node::locks::lock(&self.handles);
         on_engines.sum::<usize>() + backend::count_since(&handles, oldest)
     }
--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -17,7 +17,7 @@
     let reply = site.edges[0].call_with(Method::POST, path, "a1", "body", &forged).await?;
     assert_eq!((reply.status, reply.body.as_deref()), (200, Some("body")));
     assert_eq!(reply.headers["x-response-seal"], "seal");
-    let seen: Vec<_> = site.plain.iter().flat_map(|plain| plain.seen()).collect();
+    let seen: Vec<_> = site.plain.iter().flat_map(|plain| plain.requests()).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].target, path);
     assert_eq!(seen[0].headers["x-other"], "kept");
@@ -54,8 +54,8 @@
         (Fault::Resets, site::UNSAFE, 502, 1),
         (Fault::OtherId, site::SAFE, 502, 2),
         (Fault::OtherId, site::UNSAFE, 502, 1),
-        (Fault::Mute, site::SAFE, 504, 2),
-        (Fault::Mute, site::UNSAFE, 504, 1),
+        (Fault::Hangs, site::SAFE, 504, 2),
+        (Fault::Hangs, site::UNSAFE, 504, 1),
     ];
     for (number, (fault, path, status, runs)) in cases.into_iter().enumerate() {
         for plain in &site.plain {
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn serves_during_outage() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
-    for mode in [store::Mode::Busy, store::Mode::Silent, store::Mode::Lost] {
+    for mode in [store::Mode::Busy, store::Mode::Unresponsive, store::Mode::LostReplies] {
         site.store.set_mode(mode);
         tokio::time::sleep(time::Duration::from_millis(300)).await;
         assert!(is_served(&site, 0, site::UNSAFE).await, "{mode:?}");
@@ -107,12 +107,12 @@
     row["state"] = json!("draining");
     site.store.put("servers", "i-plain-0", row.to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
-    let before = site.plain[0].seen().len();
+    let before = site.plain[0].requests().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, site::SAFE).await);
     }
     // Responses report the load of a server, but do not make a leaving server usable again.
-    assert_eq!(site.plain[0].seen().len(), before);
+    assert_eq!(site.plain[0].requests().len(), before);
     Ok(())
 }
 
@@ -122,11 +122,11 @@
     site.store.put("servers", "i-ghost", "not an entry");
     site.store.put("servers", "i-plain-1", json!({"service": "plain"}).to_string());
     tokio::time::sleep(time::Duration::from_millis(500)).await;
-    let before = site.plain[1].seen().len();
+    let before = site.plain[1].requests().len();
     for _ in 0..10 {
         assert!(is_served(&site, 0, site::SAFE).await, "the valid rows stay in use");
     }
-    assert_eq!(site.plain[1].seen().len(), before);
+    assert_eq!(site.plain[1].requests().len(), before);
     assert!(site.edges[0].log().contains("entry not used"));
     Ok(())
 }
@@ -166,11 +166,11 @@
     site.plain[0].set_fault(backend::Fault::None);
     site.store.put("servers", "i-plain-0", row.to_string());
     tokio::time::sleep(time::Duration::from_millis(300)).await;
-    let before = site.plain[0].seen().len();
+    let before = site.plain[0].requests().len();
     for _ in 0..20 {
         assert!(is_served(&site, 0, site::SAFE).await);
     }
-    assert!(site.plain[0].seen().len() > before, "a restarted server gets no requests");
+    assert!(site.plain[0].requests().len() > before, "a restarted server gets no requests");
     Ok(())
 }
 
@@ -189,11 +189,11 @@
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
     assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
-    let before = site.plain[1].seen().len();
+    let before = site.plain[1].requests().len();
     for _ in 0..10 {
         assert!(is_served(&site, 1, site::SAFE).await);
     }
-    assert_eq!(site.plain[1].seen().len(), before, "a removed server is used");
+    assert_eq!(site.plain[1].requests().len(), before, "a removed server is used");
     relay.set_modes(relay::Mode::Forward, relay::Mode::Forward);
     site.store.put("op", "config", site.config(9).to_string());
     tokio::time::sleep(time::Duration::from_millis(3_000)).await;
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -28,7 +28,7 @@
         assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())), "{path}");
         assert_eq!(site.runs(attempt), 1);
     }
-    let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.seen()).collect();
+    let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.requests()).collect();
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-source")));
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-hold")));
     assert!(is_released(&site).await, "an engine still holds memory");
@@ -70,8 +70,13 @@
 
 #[tokio::test]
 async fn fault_table() -> anyhow::Result<()> {
-    let interrupting =
-        [Fault::CutsStream, Fault::EndsWithin, Fault::Stalls, Fault::SkipsEvent, Fault::Resets];
+    let interrupting = [
+        Fault::AbortsStream,
+        Fault::TruncatesStream,
+        Fault::Stalls,
+        Fault::SkipsEvent,
+        Fault::Resets,
+    ];
     for fault in interrupting {
         check_fault(fault, false).await?;
     }
@@ -100,7 +105,7 @@
 async fn prefill_faults() -> anyhow::Result<()> {
     let sizes = site::Sizes { prefill: 2, ..site::Sizes::default() };
     let site = site::Site::start(sizes).await?;
-    for fault in [Fault::Sheds, Fault::Mute, Fault::Moved, Fault::Forgets] {
+    for fault in [Fault::Sheds, Fault::Hangs, Fault::Moved, Fault::EvictsResults] {
         site.prefill[0].set_fault(fault);
         let attempt = format!("a-{fault:?}");
         let reply = site.edges[0].call(Method::POST, site::STREAM, &attempt, "body").await?;
@@ -140,14 +145,14 @@
 #[tokio::test]
 async fn resume_without_duplicates() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
-    site.decode[0].set_fault(Fault::CutsStream);
+    site.decode[0].set_fault(Fault::AbortsStream);
     site.decode[1].set_fault(Fault::StartsOver);
     for number in 0..MAX_CALLS {
         let attempt = format!("a{number}");
         let reply = site.edges[0].call(Method::POST, site::RESUMABLE, &attempt, "b").await?;
         assert_eq!((reply.status, reply.body), (200, Some(site::full_stream())));
         if site.runs(&attempt) == 2 {
-            let seen = site.decode[1].seen();
+            let seen = site.decode[1].requests();
             assert_eq!(seen.last().unwrap().headers["last-event-id"], "1");
             return Ok(());
         }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises that a soak checks, from what callers and servers saw.
+//! Invariants that a soak checks against the history of callers and the runs on servers.
 
 use std::{collections, fmt, time};
 
@@ -6,164 +6,169 @@
 
 use crate::record;
 
-/// A promise.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
-    /// A request that may not be repeated runs at most once, others at most as often as allowed.
-    Runs,
-    /// A refusal that says that nothing ran is true.
+pub enum Invariant {
+    /// A request runs at most as often as its kind allows: once, unless it may be retried.
+    RunCount,
+    /// A request that was rejected as not run did not run.
     NotRun,
-    /// Such a refusal tells when to come back.
-    ComeBack,
-    /// An answer is the caller's own, and whole or visibly broken off.
-    Whole,
-    /// An entry that is well answers each request.
+    /// Such a rejection has a `Retry-After` header.
+    RetryAfter,
+    /// A response belongs to its request, and is complete or visibly truncated.
+    Intact,
+    /// A healthy entry answers each request.
     Answered,
-    /// It does so in time.
-    InTime,
-    /// An entry that is told to stop ends what it has begun, and then ends well.
-    Stop,
-    /// A config that was in force stays so.
-    Undone,
-    /// All is as before soon after the last fault.
+    /// A healthy entry answers within the timeout of the route.
+    Deadline,
+    /// A stopping entry finishes the requests it has accepted and exits with code 0.
+    GracefulStop,
+    /// An entry never goes back to an older config.
+    NoRollback,
+    /// Each entry serves all kinds of requests again soon after the last fault.
     Recovered,
-    /// Nothing is kept at an engine for a request that has ended.
-    Kept,
+    /// Engines hold no memory for requests that have ended.
+    NoLeak,
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    /// Which one.
-    pub promise: Promise,
-    /// What was seen.
-    pub seen: String,
+pub struct Violation {
+    /// Violated invariant.
+    pub invariant: Invariant,
+    /// What was observed.
+    pub detail: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.seen)
+        write!(f, "{:?}: {}", self.invariant, self.detail)
     }
 }
 
-/// How often each request ran, over all servers.
+/// Runs of each attempt id, over all servers.
 pub type Runs = collections::BTreeMap<String, u32>;
 
-/// Time beyond a route's limit for the way to the caller on a busy machine.
-const SLACK: time::Duration = time::Duration::from_millis(1_500);
-/// Statuses that promise that a request did not run.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Time beyond the timeout of a route, for delays on a busy machine.
+const TIMEOUT_MARGIN: time::Duration = time::Duration::from_millis(1_500);
+/// Statuses of an entry that report that a request did not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Checks all requests and looks.
-pub fn check(log: &record::Log, runs: &Runs) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    for record in &log.records {
-        broken.extend(check_runs(record, runs));
+/// Checks the whole history and returns all violations.
+pub fn check(history: &record::History, runs: &Runs) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for record in &history.records {
+        violations.extend(check_runs(record, runs));
         match &record.end {
-            record::End::Answer(reply) => broken.extend(check_answer(log, record, reply, runs)),
-            record::End::Unreachable | record::End::Broken(_) => {
-                broken.extend(check_unanswered(log, record));
+            record::End::Answer(reply) => {
+                violations.extend(check_answer(history, record, reply, runs));
             }
-            record::End::Left => {}
+            record::End::Unreachable | record::End::ConnectionLost(_) => {
+                violations.extend(check_unanswered(history, record));
+            }
+            record::End::Abandoned => {}
         }
     }
-    broken.extend(check_sights(log));
-    broken
+    violations.extend(check_probes(history));
+    violations
 }
 
-fn found(promise: Promise, record: &record::Record, what: &str) -> Broken {
+fn violation(invariant: Invariant, record: &record::Record, reason: &str) -> Violation {
     let record::Record { attempt, kind, edge, end, .. } = record;
-    let taken = record.ended - record.began;
+    let duration = record.ended - record.began;
     let end = match end {
         record::End::Answer(reply) => format!("{} {:?}", reply.status, reply.body),
         other => format!("{other:?}"),
     };
-    let seen = format!("{attempt} ({kind:?}) at entry {edge}, {taken:?}: {what}; {end}");
-    Broken { promise, seen }
+    let detail = format!("{attempt} ({kind:?}) at entry {edge}, {duration:?}: {reason}; {end}");
+    Violation { invariant, detail }
 }
 
-fn check_runs(record: &record::Record, runs: &Runs) -> Option<Broken> {
+fn check_runs(record: &record::Record, runs: &Runs) -> Option<Violation> {
     let ran = runs.get(&record.attempt).copied().unwrap_or(0);
-    let most = record.kind.most_runs();
-    (ran > most).then(|| found(Promise::Runs, record, &format!("ran {ran} times, not {most}")))
+    let allowed = record.kind.max_runs();
+    (ran > allowed).then(|| {
+        violation(Invariant::RunCount, record, &format!("ran {ran} times, {allowed} allowed"))
+    })
 }
 
 fn check_answer(
-    log: &record::Log,
+    history: &record::History,
     record: &record::Record,
     reply: &call::Reply,
     runs: &Runs,
-) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    let is_refusal = reply.is_local() && NOT_RUN.contains(&reply.status);
-    if is_refusal && runs.contains_key(&record.attempt) {
-        broken.push(found(Promise::NotRun, record, "it ran"));
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let is_rejection = reply.is_local() && NOT_RUN_STATUSES.contains(&reply.status);
+    if is_rejection && runs.contains_key(&record.attempt) {
+        violations.push(violation(Invariant::NotRun, record, "reported as not run, but it ran"));
     }
-    if is_refusal && !reply.headers.contains_key(hyper::header::RETRY_AFTER) {
-        broken.push(found(Promise::ComeBack, record, "no time to come back"));
+    if is_rejection && !reply.headers.contains_key(hyper::header::RETRY_AFTER) {
+        violations.push(violation(Invariant::RetryAfter, record, "no Retry-After header"));
     }
     let body = format!("body of {}", record.attempt);
-    let is_whole = reply.body.as_ref() == Some(&record.kind.whole(&body));
+    let is_complete = reply.body.as_ref() == Some(&record.kind.expected_body(&body));
     let is_plain = matches!(record.kind, record::Kind::Safe | record::Kind::Unsafe);
-    // A stream may be broken off, so that its caller sees it; a plain answer is passed whole.
-    let may_break = !is_plain || is_in_trouble(log, record);
-    if reply.status == 200 && !is_whole && !(reply.body.is_none() && may_break) {
-        broken.push(found(Promise::Whole, record, "not the whole answer to this request"));
+    // A stream may be truncated visibly; a healthy entry forwards plain responses complete.
+    let may_truncate = !is_plain || overlaps_fault(history, record);
+    if reply.status == 200 && !is_complete && !(reply.body.is_none() && may_truncate) {
+        violations.push(violation(Invariant::Intact, record, "unexpected response body"));
     }
-    if reply.taken > record.kind.limit() + SLACK && !is_in_trouble(log, record) {
-        broken.push(found(Promise::InTime, record, "too late"));
+    if reply.taken > record.kind.timeout() + TIMEOUT_MARGIN && !overlaps_fault(history, record) {
+        violations.push(violation(Invariant::Deadline, record, "exceeded the timeout"));
     }
-    broken
+    violations
 }
 
-fn is_in_trouble(log: &record::Log, record: &record::Record) -> bool {
-    log.windows.iter().any(|window| window.meets(record))
+fn overlaps_fault(history: &record::History, record: &record::Record) -> bool {
+    history.windows.iter().any(|window| window.overlaps(record))
 }
 
-// A stop excuses only requests that were sent after it, and may reach a listener that is gone.
-fn check_unanswered(log: &record::Log, record: &record::Record) -> Option<Broken> {
-    let mut windows = log.windows.iter().filter(|window| window.meets(record));
-    let is_excused = windows.clone().any(|window| window.trouble != record::Trouble::Stopped);
-    let was_before = |window: &record::Window| record.began < window.from;
+// A graceful stop excuses only requests that were sent after it, when the listener may be closed.
+// Any other fault excuses all requests that overlap it.
+fn check_unanswered(history: &record::History, record: &record::Record) -> Option<Violation> {
+    let mut windows = history.windows.iter().filter(|window| window.overlaps(record));
+    let is_excused = windows.clone().any(|window| window.fault != record::EntryFault::Stopped);
+    let sent_before = |window: &record::FaultWindow| record.began < window.from;
     if is_excused {
         return None;
     }
-    if windows.clone().any(was_before) {
-        return Some(found(Promise::Stop, record, "cut by a planned stop"));
+    if windows.clone().any(sent_before) {
+        return Some(violation(Invariant::GracefulStop, record, "interrupted by a graceful stop"));
     }
-    windows.next().is_none().then(|| found(Promise::Answered, record, "no answer"))
+    windows.next().is_none().then(|| violation(Invariant::Answered, record, "no response"))
 }
 
-fn check_sights(log: &record::Log) -> Vec<Broken> {
+fn check_probes(history: &record::History) -> Vec<Violation> {
     let mut newest: collections::BTreeMap<usize, (time::Instant, u64)> =
         collections::BTreeMap::new();
-    let mut broken = Vec::new();
-    for sight in &log.sights {
-        let known = newest.get(&sight.edge).copied();
-        if sight.in_force {
-            let version = known.map_or(0, |(_, version)| version).max(sight.version);
-            newest.insert(sight.edge, (sight.at, version));
+    let mut violations = Vec::new();
+    for probe in &history.probes {
+        let known = newest.get(&probe.edge).copied();
+        if probe.applied {
+            let version = known.map_or(0, |(_, version)| version).max(probe.version);
+            newest.insert(probe.edge, (probe.at, version));
             continue;
         }
-        let Some((at, version)) = known.filter(|(_, version)| *version >= sight.version) else {
+        let Some((at, version)) = known.filter(|(_, version)| *version >= probe.version) else {
             continue;
         };
-        let ended = |window: &record::Window| {
-            window.edge == sight.edge
-                && window.trouble != record::Trouble::Frozen
-                && window.from <= sight.at
+        let restarted = |window: &record::FaultWindow| {
+            window.edge == probe.edge
+                && window.fault != record::EntryFault::Frozen
+                && window.from <= probe.at
                 && window.until.is_none_or(|until| until >= at)
         };
-        // An entry that was started again may know less for a while.
-        if log.windows.iter().any(ended) {
-            newest.remove(&sight.edge);
+        // A restarted entry may have an older config for a while.
+        if history.windows.iter().any(restarted) {
+            newest.remove(&probe.edge);
             continue;
         }
-        let seen = format!(
-            "entry {}: version {version} was in force, {} is not",
-            sight.edge, sight.version
+        let detail = format!(
+            "entry {}: version {version} was applied, {} is not",
+            probe.edge, probe.version
         );
-        broken.push(Broken { promise: Promise::Undone, seen });
+        violations.push(Violation { invariant: Invariant::NoRollback, detail });
     }
-    broken
+    violations
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,50 +1,50 @@
-//! Plays a plan against a deployment of real entries.
+//! Runs a plan against a deployment whose entries are real processes.
 
 use std::{fmt, sync, sync::atomic, time};
 
 use rhubarb_e2e::{edge, site};
 use rhubarb_node::client;
 
-use crate::{callers, check, hands, plan, record};
+use crate::{callers, check, injector, plan, record};
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Those with a server's answer.
+    /// Number of requests that a server answered.
     pub answered: usize,
-    /// Those that were refused as not run.
-    pub refused: usize,
-    /// Promises that were broken.
-    pub broken: Vec<check::Broken>,
-    /// Logs of the entries, if a promise was broken.
+    /// Number of requests that an entry rejected with status 503.
+    pub rejected: usize,
+    /// Violated invariants.
+    pub violations: Vec<check::Violation>,
+    /// Logs of the entries; empty if no invariant was violated.
     pub logs: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Report { requests, answered, refused, broken, .. } = self;
-        write!(f, "{requests} requests, {answered} answered, {refused} refused")?;
-        write!(f, ", {} promises broken", broken.len())?;
-        broken.iter().try_for_each(|broken| write!(f, "\n  {broken}"))
+        let Report { requests, answered, rejected, violations, .. } = self;
+        write!(f, "{requests} requests, {answered} answered, {rejected} rejected")?;
+        write!(f, ", {} violations", violations.len())?;
+        violations.iter().try_for_each(|violation| write!(f, "\n  {violation}"))
     }
 }
 
-/// Time for all to be as before after the last fault; the platform's `recover_s`.
-const RECOVER: time::Duration = time::Duration::from_secs(15);
-/// Time for engines to free what the last callers left, and what entries that were killed held.
+/// Time limit for recovery after the last fault; `recover_s` of the platform.
+const RECOVERY_LIMIT: time::Duration = time::Duration::from_secs(15);
+/// Time limit for engines to free the memory of abandoned requests and of killed entries.
 const FREE_LIMIT: time::Duration = time::Duration::from_secs(8);
-const STEP: time::Duration = time::Duration::from_millis(100);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Plays `plan`.
+/// Runs `plan` and checks the invariants.
 ///
 /// # Errors
 /// Returns an error if the deployment does not start.
-pub async fn play(plan: &plan::Plan) -> anyhow::Result<Report> {
+pub async fn run(plan: &plan::Plan) -> anyhow::Result<Report> {
     let site = site::Site::start(plan.sizes).await?;
     let shared = sync::Arc::new(callers::Shared {
-        log: sync::Mutex::default(),
+        history: sync::Mutex::default(),
         edges: site.edges.iter().map(|edge| edge.frontend).collect(),
         version: atomic::AtomicU64::new(1),
         stopped: atomic::AtomicBool::new(false),
@@ -54,100 +54,103 @@
         (0..plan.callers).map(|_| tokio::spawn(callers::run(shared.clone()))).collect();
     tasks.extend((0..plan.sizes.edges).map(|edge| {
         let shared = shared.clone();
-        tokio::spawn(callers::observe(shared, edge))
+        tokio::spawn(callers::probe_loop(shared, edge))
     }));
-    let mut hands = hands::Hands { site, shared: shared.clone(), broken: Vec::new() };
+    let mut injector = injector::Injector { site, shared: shared.clone(), violations: Vec::new() };
     let start = tokio::time::Instant::now();
     for step in &plan.steps {
         tokio::time::sleep_until(start + step.at).await;
-        hands.apply(step.change).await?;
+        injector.apply(step.change).await?;
     }
-    hands.heal().await?;
-    wait_recovered(&mut hands).await;
+    injector.clear_faults().await?;
+    wait_recovered(&mut injector).await;
     shared.stopped.store(true, atomic::Ordering::Relaxed);
     for task in tasks {
         task.await?;
     }
-    wait_free(&mut hands).await;
-    Ok(report(hands))
+    wait_freed(&mut injector).await;
+    Ok(build_report(injector))
 }
 
-async fn wait_recovered(hands: &mut hands::Hands) {
-    let until = time::Instant::now() + RECOVER;
-    for edge in 0..hands.site.edges.len() {
-        while let Err(seen) = is_well(hands, edge).await {
-            if time::Instant::now() >= until {
-                let promise = check::Promise::Recovered;
-                hands.broken.push(check::Broken { promise, seen });
+async fn wait_recovered(injector: &mut injector::Injector) {
+    let deadline = time::Instant::now() + RECOVERY_LIMIT;
+    for edge in 0..injector.site.edges.len() {
+        while let Err(detail) = check_serving(injector, edge).await {
+            if time::Instant::now() >= deadline {
+                let invariant = check::Invariant::Recovered;
+                injector.violations.push(check::Violation { invariant, detail });
                 break;
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-// Whether an entry is ready, has the newest config, and serves each kind of request.
-async fn is_well(hands: &hands::Hands, edge: usize) -> Result<(), String> {
-    if !hands.site.edges[edge].is_ready().await {
+// Checks that an entry is ready, has the latest config, and serves each kind of request.
+async fn check_serving(injector: &injector::Injector, edge: usize) -> Result<(), String> {
+    if !injector.site.edges[edge].is_ready().await {
         return Err(format!("entry {edge} is not ready"));
     }
     let client = client::Client::new();
-    let version = hands.shared.version.load(atomic::Ordering::Relaxed);
-    let sight = callers::look(&hands.shared, &client, edge, version).await;
-    if !sight.is_some_and(|sight| sight.in_force) {
-        return Err(format!("entry {edge} does not have version {version}"));
+    let version = injector.shared.version.load(atomic::Ordering::Relaxed);
+    let probe = callers::probe_config(&injector.shared, &client, edge, version).await;
+    if !probe.is_some_and(|probe| probe.applied) {
+        return Err(format!("entry {edge} does not have config version {version}"));
     }
     for kind in record::KINDS {
-        let record = callers::call(&hands.shared, &client, edge, kind).await;
+        let record = callers::call(&injector.shared, &client, edge, kind).await;
         let is_served = match &record.end {
             record::End::Answer(reply) => reply.status == 200,
-            record::End::Left => true,
+            record::End::Abandoned => true,
             _ => false,
         };
-        let seen = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
-        hands.shared.log().records.push(record);
+        let detail = format!("entry {edge} does not serve {kind:?}: {:?}", record.end);
+        injector.shared.history().records.push(record);
         if !is_served {
-            return Err(seen);
+            return Err(detail);
         }
     }
     Ok(())
 }
 
-async fn wait_free(hands: &mut hands::Hands) {
-    let until = time::Instant::now() + FREE_LIMIT;
-    while hands.site.outstanding_unexpired() > 0 {
-        if time::Instant::now() >= until {
-            let seen = format!("{} pieces of engine memory", hands.site.outstanding_unexpired());
-            hands.broken.push(check::Broken { promise: check::Promise::Kept, seen });
+async fn wait_freed(injector: &mut injector::Injector) {
+    let deadline = time::Instant::now() + FREE_LIMIT;
+    while injector.site.outstanding_unexpired() > 0 {
+        if time::Instant::now() >= deadline {
+            let kept = injector.site.outstanding_unexpired();
+            let detail = format!("{kept} holds, prefill results or requests remain at engines");
+            injector
+                .violations
+                .push(check::Violation { invariant: check::Invariant::NoLeak, detail });
             return;
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn report(hands: hands::Hands) -> Report {
+fn build_report(injector: injector::Injector) -> Report {
     let mut runs = check::Runs::new();
-    for server in hands.site.servers() {
+    for server in injector.site.servers() {
         for (attempt, count) in server.runs() {
             *runs.entry(attempt).or_default() += count;
         }
     }
-    let log = hands.shared.log();
-    let mut broken = hands.broken;
-    broken.extend(check::check(&log, &runs));
-    let replies = log.records.iter().filter_map(|record| match &record.end {
+    let history = injector.shared.history();
+    let mut violations = injector.violations;
+    violations.extend(check::check(&history, &runs));
+    let replies = history.records.iter().filter_map(|record| match &record.end {
         record::End::Answer(reply) => Some(reply),
         _ => None,
     });
-    let logs = match broken.is_empty() {
+    let logs = match violations.is_empty() {
         true => Vec::new(),
-        false => hands.site.edges.iter().map(edge::Edge::log).collect(),
+        false => injector.site.edges.iter().map(edge::Edge::log).collect(),
     };
     Report {
-        requests: log.records.len(),
+        requests: history.records.len(),
         answered: replies.clone().filter(|reply| !reply.is_local()).count(),
-        refused: replies.filter(|reply| reply.is_local() && reply.status == 503).count(),
-        broken,
+        rejected: replies.filter(|reply| reply.is_local() && reply.status == 503).count(),
+        violations,
         logs,
     }
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short soaks with fixed seeds; long ones are played by hand with `rhubarb-soak`.
+//! Short soaks with fixed seeds; longer ones are run by hand with `rhubarb-soak`.
 
 use std::time;
 
@@ -6,22 +6,22 @@
 
 const LENGTH: time::Duration = time::Duration::from_secs(5);
 
-async fn play(seed: u64) -> anyhow::Result<()> {
+async fn run(seed: u64) -> anyhow::Result<()> {
     let plan = plan::Plan::draw(seed, LENGTH);
-    let report = soak::play(&plan).await?;
-    assert!(report.broken.is_empty(), "seed {seed}: {report}\n{}", report.logs.join("\n---\n"));
+    let report = soak::run(&plan).await?;
+    assert!(report.violations.is_empty(), "seed {seed}: {report}\n{}", report.logs.join("\n---\n"));
     assert!(report.answered > 0, "seed {seed}: {report}");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn first_seed() -> anyhow::Result<()> {
-    play(1).await
+    run(1).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn second_seed() -> anyhow::Result<()> {
-    play(2).await
+    run(2).await
 }
 
 #[test]
