--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -41,7 +41,8 @@
 // 107079775830).
 #[tokio::test]
 async fn request_during_exit() -> anyhow::Result<()> {
-    let site = site::Site::start(site::Sizes::default()).await?; // The last record and all responses take until their timeouts.
+    let site = site::Site::start(site::Sizes::default()).await?;
+    // The last record and all responses take until their timeouts.
     site.store.set_mode(store::Mode::Unresponsive);
     for plain in &site.plain {
         plain.set_fault(backend::Fault::Hangs);
