--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -6,12 +6,12 @@
 use rhubarb_node::locks;
 use rhubarb_wire::message;
 
-use crate::{dial, directory, peer};
+use crate::{connector, directory, peer};
 
 /// Connections of an entry to agents.
 #[derive(Debug)]
 pub(crate) struct Backend {
-    identity: sync::Arc<dial::Identity>,
+    identity: sync::Arc<connector::Identity>,
     directory: sync::Arc<directory::Directory>,
     peers: sync::Mutex<collections::BTreeMap<ids::ServerName, peer::Peer>>,
     seq: atomic::AtomicU64,
@@ -19,7 +19,7 @@
 
 impl Backend {
     pub(crate) fn new(
-        identity: dial::Identity,
+        identity: connector::Identity,
         directory: sync::Arc<directory::Directory>,
     ) -> Backend {
         Backend {
@@ -61,6 +61,6 @@
 
     /// Asks the agent at `address` for its service list.
     pub(crate) async fn fetch_list(&self, address: net::SocketAddr) -> Option<message::ListCopy> {
-        dial::fetch_list(&self.identity, address).await
+        connector::fetch_list(&self.identity, address).await
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -7,7 +7,7 @@
 use rhubarb_core::{ids, limit, outcome, usage};
 use rhubarb_node::{client, clock, locks, metrics, objects, table};
 
-use crate::{backend, dial, directory, settings, view};
+use crate::{backend, connector, directory, settings, view};
 
 /// One entry.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
         let directory = directory::Directory::new(view, metrics.version.clone());
         let directory = sync::Arc::new(directory);
         let (name, keys) = (settings.name.clone(), settings.keys.clone());
-        let identity = dial::Identity { name, incarnation, keys };
+        let identity = connector::Identity { name, incarnation, keys };
         Entry {
             backend: backend::Backend::new(identity, directory.clone()),
             directory,
--- a/crates/entry/src/keeper.rs
+++ b/crates/entry/src/keeper.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::clock;
 use rhubarb_wire::{chunk, message};
 
-use crate::{channel, dial, directory, link};
+use crate::{channel, connector, directory, link};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -27,7 +27,7 @@
 /// Keeps the connection to one agent, and hands on what comes over it.
 #[derive(Debug)]
 pub(crate) struct Keeper {
-    identity: sync::Arc<dial::Identity>,
+    identity: sync::Arc<connector::Identity>,
     directory: sync::Arc<directory::Directory>,
     server: ids::ServerName,
     address: net::SocketAddr,
@@ -42,7 +42,7 @@
 impl Keeper {
     /// Makes the keeper of the connection to the agent of `server`.
     pub(crate) fn new(
-        identity: sync::Arc<dial::Identity>,
+        identity: sync::Arc<connector::Identity>,
         directory: sync::Arc<directory::Directory>,
         server: &str,
         address: net::SocketAddr,
@@ -68,8 +68,8 @@
             if self.runs.is_empty() && !self.wanted && !self.wait_wanted().await {
                 return;
             }
-            match tokio::time::timeout(dial::CONNECT_LIMIT, self.connect()).await {
-                Ok(Ok(wire)) => self.serve(wire).await,
+            match tokio::time::timeout(connector::CONNECT_TIMEOUT, self.connect()).await {
+                Ok(Ok(connection)) => self.serve(connection).await,
                 Ok(Err(err)) => {
                     tracing::info!("entry: no link to {}: {err}", self.server);
                     self.note_failure();
@@ -113,18 +113,18 @@
         }
     }
 
-    async fn connect(&mut self) -> anyhow::Result<dial::Wire> {
-        let (mut wire, incarnation, pong) =
-            dial::connect(&self.identity, &self.server, self.address).await?;
+    async fn connect(&mut self) -> anyhow::Result<connector::Connection> {
+        let (mut connection, incarnation, pong) =
+            connector::connect(&self.identity, &self.server, self.address).await?;
         self.note_pong(incarnation, &pong);
         match self.link.handle(link::Event::Welcomed(incarnation)) {
-            Some(link::Step::Resume) => self.resume_all(&mut wire).await,
+            Some(link::Step::Resume) => self.resume_all(&mut connection).await,
             Some(link::Step::GiveUp) => {
                 self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
             }
             None => {}
         }
-        Ok(wire)
+        Ok(connection)
     }
 
     fn note_pong(&mut self, incarnation: ids::Incarnation, pong: &message::Pong) {
@@ -136,30 +136,30 @@
         self.directory.note_version(pong.version);
     }
 
-    async fn resume_all(&mut self, wire: &mut dial::Wire) {
+    async fn resume_all(&mut self, connection: &mut connector::Connection) {
         for (run, open) in &self.runs {
             let resume = message::Resume { run: *run, offset: open.assembly.offset() };
-            wire.send(&message::ToAgent::Resume(resume)).await;
+            connection.send(&message::ToAgent::Resume(resume)).await;
         }
     }
 
-    async fn serve(&mut self, mut wire: dial::Wire) {
+    async fn serve(&mut self, mut connection: connector::Connection) {
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let worked = tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(command) => self.obey(command, &mut wire).await,
+                    Some(command) => self.obey(command, &mut connection).await,
                     None => break,
                 },
-                notice = wire.notices.recv() => match notice {
+                notice = connection.messages.recv() => match notice {
                     Some(notice) => {
-                        wire.hear();
-                        self.take(notice, &mut wire).await
+                        connection.record_received();
+                        self.take(notice, &mut connection).await
                     }
                     None => break,
                 },
-                _ = ticks.tick() => self.keep_alive(&mut wire).await,
+                _ = ticks.tick() => self.keep_alive(&mut connection).await,
             };
             if !worked {
                 break;
@@ -169,17 +169,17 @@
         self.link.handle(link::Event::Broken(clock::now()));
     }
 
-    async fn keep_alive(&mut self, wire: &mut dial::Wire) -> bool {
+    async fn keep_alive(&mut self, connection: &mut connector::Connection) -> bool {
         let now = clock::now();
-        if wire.is_silent(now) {
+        if connection.is_timed_out(now) {
             tracing::info!("entry: link to {} is silent", self.server);
             return false;
         }
-        if !wire.is_ping_due(!self.runs.is_empty(), now) {
+        if !connection.is_ping_due(!self.runs.is_empty(), now) {
             return true;
         }
         let version = self.directory.view().version();
-        wire.ping(version, dial::SILENCE).await
+        connection.ping(version, connector::PING_TIMEOUT).await
     }
 
     async fn step(&mut self, event: link::Event) {
@@ -208,12 +208,16 @@
         }
     }
 
-    async fn obey(&mut self, command: channel::Command, wire: &mut dial::Wire) -> bool {
+    async fn obey(
+        &mut self,
+        command: channel::Command,
+        connection: &mut connector::Connection,
+    ) -> bool {
         match command {
             channel::Command::Connect => {
                 self.wanted = true;
                 let version = self.directory.view().version();
-                wire.ping(version, PROBE).await
+                connection.ping(version, PROBE).await
             }
             channel::Command::Open { run, incarnation, order, sink } => {
                 // The order's times are on the clock of one incarnation of the agent.
@@ -224,17 +228,21 @@
                 }
                 let assembly = assembly::Assembly::default();
                 self.runs.insert(run, Open { sink, assembly, has_head: false });
-                wire.send(&order).await && self.keep_alive(wire).await
+                connection.send(&order).await && self.keep_alive(connection).await
             }
-            channel::Command::Send(order) => wire.send(&order).await,
+            channel::Command::Send(order) => connection.send(&order).await,
             channel::Command::Close(run) => {
                 self.runs.remove(&run);
-                wire.send(&message::ToAgent::Cancel(run)).await
+                connection.send(&message::ToAgent::Cancel(run)).await
             }
         }
     }
 
-    async fn take(&mut self, notice: message::ToEntry, wire: &mut dial::Wire) -> bool {
+    async fn take(
+        &mut self,
+        notice: message::ToEntry,
+        connection: &mut connector::Connection,
+    ) -> bool {
         match notice {
             message::ToEntry::Challenge(_) | message::ToEntry::Welcome(_) => false,
             message::ToEntry::Reserved(run) => self.pass(run, channel::Event::Reserved, false),
@@ -254,7 +262,7 @@
                 true
             }
             message::ToEntry::WantList(version) => match self.directory.copy(version) {
-                Some(copy) => wire.send(&message::ToAgent::List(copy)).await,
+                Some(copy) => connection.send(&message::ToAgent::List(copy)).await,
                 None => true,
             },
             message::ToEntry::List(copy) => {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -14,7 +14,7 @@
 mod backend;
 mod channel;
 mod completion;
-mod dial;
+mod connector;
 mod directory;
 mod entry;
 mod follow;
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::clock;
 use rhubarb_wire::message;
 
-use crate::{channel, dial, directory, keeper};
+use crate::{channel, connector, directory, keeper};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -37,7 +37,7 @@
 impl Peer {
     /// Starts the task that keeps the connection.
     pub(crate) fn open(
-        identity: sync::Arc<dial::Identity>,
+        identity: sync::Arc<connector::Identity>,
         directory: sync::Arc<directory::Directory>,
         server: &str,
         address: net::SocketAddr,
@@ -64,7 +64,7 @@
         let wait = reach.wait_for(|reach| {
             reach.heard_after(oldest).is_some() || reach.failures > before.failures
         });
-        let found = tokio::time::timeout(dial::CONNECT_LIMIT, wait).await.ok()?.ok()?;
+        let found = tokio::time::timeout(connector::CONNECT_TIMEOUT, wait).await.ok()?.ok()?;
         found.heard_after(oldest)
     }
 
