--- a/crates/entry/src/keeper.rs
+++ b/crates/entry/src/keeper.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::clock;
 use rhubarb_wire::{chunk, message};
 
-use crate::{channel, connector, directory, link};
+use crate::{channel, connector, directory, lifecycle};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -31,7 +31,7 @@
     directory: sync::Arc<directory::Directory>,
     server: ids::ServerName,
     address: net::SocketAddr,
-    link: link::Link,
+    lifecycle: lifecycle::Lifecycle,
     commands: mpsc::UnboundedReceiver<channel::Command>,
     reach: watch::Sender<channel::Reach>,
     runs: collections::BTreeMap<ids::RunId, Open>,
@@ -54,7 +54,7 @@
             directory,
             server: server.to_string(),
             address,
-            link: link::Link::new(),
+            lifecycle: lifecycle::Lifecycle::new(),
             commands,
             reach,
             runs: collections::BTreeMap::new(),
@@ -83,7 +83,7 @@
                 }
             }
             tokio::time::sleep(BACKOFF).await;
-            self.step(link::Event::Tick(clock::now())).await;
+            self.step(lifecycle::Event::Tick(clock::now())).await;
         }
     }
 
@@ -93,7 +93,8 @@
     }
 
     fn note_refused(&mut self) {
-        if let Some(link::Step::GiveUp) = self.link.handle(link::Event::Refused) {
+        if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(lifecycle::Event::Refused)
+        {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         }
     }
@@ -117,9 +118,9 @@
         let (mut connection, incarnation, pong) =
             connector::connect(&self.identity, &self.server, self.address).await?;
         self.note_pong(incarnation, &pong);
-        match self.link.handle(link::Event::Welcomed(incarnation)) {
-            Some(link::Step::Resume) => self.resume_all(&mut connection).await,
-            Some(link::Step::GiveUp) => {
+        match self.lifecycle.handle(lifecycle::Event::Accepted(incarnation)) {
+            Some(lifecycle::Action::ResumeRuns) => self.resume_all(&mut connection).await,
+            Some(lifecycle::Action::FailRuns) => {
                 self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
             }
             None => {}
@@ -166,7 +167,7 @@
             }
         }
         self.reach.send_modify(|reach| reach.contact = None);
-        self.link.handle(link::Event::Broken(clock::now()));
+        self.lifecycle.handle(lifecycle::Event::Disconnected(clock::now()));
     }
 
     async fn keep_alive(&mut self, connection: &mut connector::Connection) -> bool {
@@ -182,8 +183,8 @@
         connection.ping(version, connector::PING_TIMEOUT).await
     }
 
-    async fn step(&mut self, event: link::Event) {
-        if let Some(link::Step::GiveUp) = self.link.handle(event) {
+    async fn step(&mut self, event: lifecycle::Event) {
+        if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(event) {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         }
         // Runs that their requests dropped meanwhile need no connection.
@@ -221,7 +222,7 @@
             }
             channel::Command::Open { run, incarnation, order, sink } => {
                 // The order's times are on the clock of one incarnation of the agent.
-                if self.link.incarnation() != Some(incarnation) {
+                if self.lifecycle.incarnation() != Some(incarnation) {
                     let refusal = Refusal::not_run(Reason::NoServer, RETRY_SOON);
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                     return true;
@@ -256,7 +257,7 @@
             message::ToEntry::Chunk(chunk) => self.take_chunk(chunk),
             message::ToEntry::End(end) => self.take_end(end),
             message::ToEntry::Pong(pong) => {
-                if let Some(incarnation) = self.link.incarnation() {
+                if let Some(incarnation) = self.lifecycle.incarnation() {
                     self.note_pong(incarnation, &pong);
                 }
                 true
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -21,7 +21,7 @@
 mod ingress;
 mod keeper;
 mod ledger;
-mod link;
+mod lifecycle;
 mod lists;
 mod openai;
 mod peer;
