--- a/crates/entry/src/keeper.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -1,4 +1,4 @@
-//! Keeps the connection to the agent of one server.
+//! Maintains the connection to the agent of one server.
 
 use std::{collections, io, net, sync, time};
 
@@ -12,21 +12,23 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
-const TICK: time::Duration = time::Duration::from_millis(100);
-/// A probe that is not answered in this time breaks the link.
-const PROBE: time::Duration = time::Duration::from_millis(300);
-const BACKOFF: time::Duration = time::Duration::from_millis(100);
+/// Time between two checks of an open connection.
+const CHECK_PERIOD: time::Duration = time::Duration::from_millis(100);
+/// A connection on which a probe is not answered within this time is closed.
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(300);
+/// Pause before the next attempt to connect.
+const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(100);
 
 #[derive(Debug)]
-struct Open {
+struct OpenRun {
     sink: channel::Sink,
     assembly: assembly::Assembly,
     has_head: bool,
 }
 
-/// Keeps the connection to one agent, and hands on what comes over it.
+/// Opens and reopens the connection to one agent, and forwards its messages to the runs.
 #[derive(Debug)]
-pub(crate) struct Keeper {
+pub(crate) struct ConnectionManager {
     identity: sync::Arc<connector::Identity>,
     directory: sync::Arc<directory::Directory>,
     server: ids::ServerName,
@@ -34,13 +36,13 @@
     lifecycle: lifecycle::Lifecycle,
     commands: mpsc::UnboundedReceiver<channel::Command>,
     reach: watch::Sender<channel::Reach>,
-    runs: collections::BTreeMap<ids::RunId, Open>,
-    // A request waits for the connection.
-    wanted: bool,
+    runs: collections::BTreeMap<ids::RunId, OpenRun>,
+    // Whether a request waits for the connection.
+    is_awaited: bool,
 }
 
-impl Keeper {
-    /// Makes the keeper of the connection to the agent of `server`.
+impl ConnectionManager {
+    /// Creates the manager of the connection to the agent of `server`.
     pub(crate) fn new(
         identity: sync::Arc<connector::Identity>,
         directory: sync::Arc<directory::Directory>,
@@ -48,8 +50,8 @@
         address: net::SocketAddr,
         commands: mpsc::UnboundedReceiver<channel::Command>,
         reach: watch::Sender<channel::Reach>,
-    ) -> Keeper {
-        Keeper {
+    ) -> ConnectionManager {
+        ConnectionManager {
             identity,
             directory,
             server: server.to_string(),
@@ -58,41 +60,44 @@
             commands,
             reach,
             runs: collections::BTreeMap::new(),
-            wanted: false,
+            is_awaited: false,
         }
     }
 
-    /// Keeps the connection until the entry drops the peer.
+    /// Maintains the connection until the entry drops the peer.
     pub(crate) async fn run(mut self) {
         loop {
-            if self.runs.is_empty() && !self.wanted && !self.wait_wanted().await {
+            if self.runs.is_empty() && !self.is_awaited && !self.wait_for_connect().await {
                 return;
             }
             match tokio::time::timeout(connector::CONNECT_TIMEOUT, self.connect()).await {
                 Ok(Ok(connection)) => self.serve(connection).await,
                 Ok(Err(err)) => {
-                    tracing::info!("entry: no link to {}: {err}", self.server);
-                    self.note_failure();
+                    tracing::info!("entry: cannot connect to {}: {err}", self.server);
+                    self.record_failure();
                     if is_refused(&err) {
-                        self.note_refused();
+                        self.handle_refused();
                     }
                 }
                 Err(_) => {
-                    tracing::info!("entry: {} does not answer; check its agent", self.server);
-                    self.note_failure();
+                    tracing::info!(
+                        "entry: connecting to {} timed out; check its agent",
+                        self.server
+                    );
+                    self.record_failure();
                 }
             }
-            tokio::time::sleep(BACKOFF).await;
-            self.step(lifecycle::Event::Tick(clock::now())).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
+            self.handle_event(lifecycle::Event::Tick(clock::now())).await;
         }
     }
 
-    fn note_failure(&mut self) {
-        self.wanted = false;
+    fn record_failure(&mut self) {
+        self.is_awaited = false;
         self.reach.send_modify(|reach| reach.failures += 1);
     }
 
-    fn note_refused(&mut self) {
+    fn handle_refused(&mut self) {
         if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(lifecycle::Event::Refused)
         {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
@@ -100,7 +105,7 @@
     }
 
     // Waits for the first command that needs a connection; false when the entry dropped the peer.
-    async fn wait_wanted(&mut self) -> bool {
+    async fn wait_for_connect(&mut self) -> bool {
         loop {
             match self.commands.recv().await {
                 Some(channel::Command::Connect) => return true,
@@ -117,7 +122,7 @@
     async fn connect(&mut self) -> anyhow::Result<connector::Connection> {
         let (mut connection, incarnation, pong) =
             connector::connect(&self.identity, &self.server, self.address).await?;
-        self.note_pong(incarnation, &pong);
+        self.record_pong(incarnation, &pong);
         match self.lifecycle.handle(lifecycle::Event::Accepted(incarnation)) {
             Some(lifecycle::Action::ResumeRuns) => self.resume_all(&mut connection).await,
             Some(lifecycle::Action::FailRuns) => {
@@ -128,10 +133,10 @@
         Ok(connection)
     }
 
-    fn note_pong(&mut self, incarnation: ids::Incarnation, pong: &message::Pong) {
+    fn record_pong(&mut self, incarnation: ids::Incarnation, pong: &message::Pong) {
         let heard_at = clock::now();
         let contact = channel::Contact { incarnation, clock_ms: pong.clock_ms, heard_at };
-        self.wanted = false;
+        self.is_awaited = false;
         self.reach.send_modify(|reach| reach.contact = Some(contact));
         self.directory.view().hear(&self.server, pong.load, heard_at);
         self.directory.note_version(pong.version);
@@ -145,24 +150,24 @@
     }
 
     async fn serve(&mut self, mut connection: connector::Connection) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(CHECK_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let worked = tokio::select! {
+            let is_healthy = tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(command) => self.obey(command, &mut connection).await,
+                    Some(command) => self.handle_command(command, &mut connection).await,
                     None => break,
                 },
-                notice = connection.messages.recv() => match notice {
-                    Some(notice) => {
+                message = connection.messages.recv() => match message {
+                    Some(message) => {
                         connection.record_received();
-                        self.take(notice, &mut connection).await
+                        self.handle_message(message, &mut connection).await
                     }
                     None => break,
                 },
                 _ = ticks.tick() => self.keep_alive(&mut connection).await,
             };
-            if !worked {
+            if !is_healthy {
                 break;
             }
         }
@@ -170,10 +175,11 @@
         self.lifecycle.handle(lifecycle::Event::Disconnected(clock::now()));
     }
 
+    // Pings if a ping is due; false if the connection is to be closed.
     async fn keep_alive(&mut self, connection: &mut connector::Connection) -> bool {
         let now = clock::now();
         if connection.is_timed_out(now) {
-            tracing::info!("entry: link to {} is silent", self.server);
+            tracing::info!("entry: connection to {} timed out", self.server);
             return false;
         }
         if !connection.is_ping_due(!self.runs.is_empty(), now) {
@@ -183,11 +189,11 @@
         connection.ping(version, connector::PING_TIMEOUT).await
     }
 
-    async fn step(&mut self, event: lifecycle::Event) {
+    async fn handle_event(&mut self, event: lifecycle::Event) {
         if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(event) {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         }
-        // Runs that their requests dropped meanwhile need no connection.
+        // Runs that were cancelled in the meantime need no connection.
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 channel::Command::Open { sink, .. } => {
@@ -197,7 +203,7 @@
                 channel::Command::Close(run) => {
                     self.runs.remove(&run);
                 }
-                channel::Command::Connect => self.wanted = true,
+                channel::Command::Connect => self.is_awaited = true,
                 channel::Command::Send(_) => {}
             }
         }
@@ -209,29 +215,29 @@
         }
     }
 
-    async fn obey(
+    async fn handle_command(
         &mut self,
         command: channel::Command,
         connection: &mut connector::Connection,
     ) -> bool {
         match command {
             channel::Command::Connect => {
-                self.wanted = true;
+                self.is_awaited = true;
                 let version = self.directory.view().version();
-                connection.ping(version, PROBE).await
+                connection.ping(version, PROBE_TIMEOUT).await
             }
             channel::Command::Open { run, incarnation, order, sink } => {
-                // The order's times are on the clock of one incarnation of the agent.
+                // The message's times are on the clock of one incarnation of the agent.
                 if self.lifecycle.incarnation() != Some(incarnation) {
                     let refusal = Refusal::not_run(Reason::NoServer, RETRY_SOON);
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                     return true;
                 }
                 let assembly = assembly::Assembly::default();
-                self.runs.insert(run, Open { sink, assembly, has_head: false });
+                self.runs.insert(run, OpenRun { sink, assembly, has_head: false });
                 connection.send(&order).await && self.keep_alive(connection).await
             }
-            channel::Command::Send(order) => connection.send(&order).await,
+            channel::Command::Send(message) => connection.send(&message).await,
             channel::Command::Close(run) => {
                 self.runs.remove(&run);
                 connection.send(&message::ToAgent::Cancel(run)).await
@@ -239,26 +245,26 @@
         }
     }
 
-    async fn take(
+    async fn handle_message(
         &mut self,
-        notice: message::ToEntry,
+        message: message::ToEntry,
         connection: &mut connector::Connection,
     ) -> bool {
-        match notice {
+        match message {
             message::ToEntry::Challenge(_) | message::ToEntry::Welcome(_) => false,
-            message::ToEntry::Reserved(run) => self.pass(run, channel::Event::Reserved, false),
+            message::ToEntry::Reserved(run) => self.forward(run, channel::Event::Reserved, false),
             message::ToEntry::Prefilled(prefilled) => {
-                self.pass(prefilled.run, channel::Event::Prefilled(prefilled), true)
+                self.forward(prefilled.run, channel::Event::Prefilled(prefilled), true)
             }
             message::ToEntry::Refused(refused) => {
-                self.pass(refused.run, channel::Event::Refused(refused.refusal), true)
+                self.forward(refused.run, channel::Event::Refused(refused.refusal), true)
             }
-            message::ToEntry::Head(head) => self.take_head(head),
-            message::ToEntry::Chunk(chunk) => self.take_chunk(chunk),
-            message::ToEntry::End(end) => self.take_end(end),
+            message::ToEntry::Head(head) => self.handle_head(head),
+            message::ToEntry::Chunk(chunk) => self.handle_chunk(chunk),
+            message::ToEntry::End(end) => self.handle_end(end),
             message::ToEntry::Pong(pong) => {
                 if let Some(incarnation) = self.lifecycle.incarnation() {
-                    self.note_pong(incarnation, &pong);
+                    self.record_pong(incarnation, &pong);
                 }
                 true
             }
@@ -273,8 +279,9 @@
         }
     }
 
-    // A run that cannot take an event any more is dropped, which cancels it at the agent.
-    fn pass(&mut self, run: ids::RunId, event: channel::Event, is_last: bool) -> bool {
+    // Drops a run whose event buffer is full, so that its request sees a lost connection, or whose
+    // request has ended, which cancels the run at the agent.
+    fn forward(&mut self, run: ids::RunId, event: channel::Event, is_last: bool) -> bool {
         if let Some(open) = self.runs.get(&run) {
             let is_full = open.sink.try_send(event).is_err();
             if is_last || is_full {
@@ -284,23 +291,23 @@
         true
     }
 
-    fn take_head(&mut self, head: message::Head) -> bool {
+    fn handle_head(&mut self, head: message::Head) -> bool {
         let Some(open) = self.runs.get_mut(&head.run) else { return true };
         if open.has_head {
             return true;
         }
         open.has_head = true;
-        self.pass(head.run, channel::Event::Head(head), false)
+        self.forward(head.run, channel::Event::Head(head), false)
     }
 
-    // After a gap the connection is opened again, and every run resumed at its offset.
-    fn take_chunk(&mut self, chunk: chunk::Chunk) -> bool {
+    // After a gap the connection is reopened, and every run is resumed at its offset.
+    fn handle_chunk(&mut self, chunk: chunk::Chunk) -> bool {
         let Some(open) = self.runs.get_mut(&chunk.run) else { return true };
         match open.assembly.take(chunk.offset, &chunk.bytes) {
             Ok([]) => true,
             Ok(fresh) => {
                 let bytes = fresh.to_vec();
-                self.pass(chunk.run, channel::Event::Bytes(bytes), false)
+                self.forward(chunk.run, channel::Event::Bytes(bytes), false)
             }
             Err(gap) => {
                 tracing::warn!("entry: {gap}");
@@ -309,12 +316,12 @@
         }
     }
 
-    fn take_end(&mut self, end: message::End) -> bool {
+    fn handle_end(&mut self, end: message::End) -> bool {
         let Some(open) = self.runs.get(&end.run) else { return true };
         if open.assembly.finish(end.length).is_err() {
             return false;
         }
-        self.pass(end.run, channel::Event::End, true)
+        self.forward(end.run, channel::Event::End, true)
     }
 }
 
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::clock;
 use rhubarb_wire::message;
 
-use crate::{channel, connector, directory, keeper};
+use crate::{channel, connection_manager, connector, directory};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -44,8 +44,10 @@
     ) -> Peer {
         let (commands, receiver) = mpsc::unbounded_channel();
         let (sender, reach) = watch::channel(channel::Reach::default());
-        let keeper = keeper::Keeper::new(identity, directory, server, address, receiver, sender);
-        tokio::spawn(keeper.run());
+        let manager = connection_manager::ConnectionManager::new(
+            identity, directory, server, address, receiver, sender,
+        );
+        tokio::spawn(manager.run());
         Peer { address, commands, reach }
     }
 
