--- a/crates/entry/src/channel.rs
+++ b/crates/entry/src/channel.rs
@@ -1,4 +1,4 @@
-//! What passes between the requests of an entry and its connection to one agent.
+//! Types exchanged between the requests of an entry and the connection to one agent.
 
 use std::time;
 
@@ -9,66 +9,66 @@
 
 use outcome::Refusal;
 
-/// What a run gets from its agent.
+/// Event of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// The room is reserved.
+    /// The slot is reserved.
     Reserved,
-    /// The prefill ended.
+    /// The prefill completed.
     Prefilled(message::Prefilled),
-    /// Start of the answer.
+    /// Status and headers of the response.
     Head(message::Head),
-    /// Next bytes of the answer, in order and each once.
+    /// Next bytes of the response body, in order and without repetitions.
     Bytes(Vec<u8>),
-    /// All bytes have come.
+    /// The response is complete.
     End,
-    /// The run was refused or failed; nothing follows.
+    /// The run was refused or failed; no event follows.
     Refused(Refusal),
 }
 
-/// State of the agent's clock and process while connected.
+/// Incarnation and clock of a connected agent, as last reported.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Contact {
+pub(crate) struct AgentState {
     pub(crate) incarnation: ids::Incarnation,
     pub(crate) clock_ms: u64,
-    pub(crate) heard_at: time::Instant,
+    pub(crate) reported_at: time::Instant,
 }
 
-impl Contact {
-    /// What the agent's clock shows at `at`, or less.
+impl AgentState {
+    /// Lower bound of what the agent's clock shows at `at`, in milliseconds.
     pub(crate) fn clock_at(&self, at: time::Instant) -> u64 {
-        self.clock_ms + at.saturating_duration_since(self.heard_at).as_millis() as u64
+        self.clock_ms + at.saturating_duration_since(self.reported_at).as_millis() as u64
     }
 }
 
 /// Whether the agent can be reached.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reach {
+pub(crate) struct Reachability {
     /// Set while the connection is open.
-    pub(crate) contact: Option<Contact>,
-    /// Attempts to connect that have failed so far.
+    pub(crate) agent: Option<AgentState>,
+    /// Number of failed attempts to connect.
     pub(crate) failures: u64,
 }
 
-impl Reach {
-    /// Contact in which the agent was heard after `oldest`.
-    pub(crate) fn heard_after(&self, oldest: Option<time::Instant>) -> Option<Contact> {
-        self.contact.filter(|contact| oldest.is_none_or(|oldest| contact.heard_at > oldest))
+impl Reachability {
+    /// State of the agent, if it was reported after `oldest`.
+    pub(crate) fn reported_after(&self, oldest: Option<time::Instant>) -> Option<AgentState> {
+        self.agent.filter(|agent| oldest.is_none_or(|oldest| agent.reported_at > oldest))
     }
 }
 
-/// What requests ask of the connection.
+/// Command of a request to the connection.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Connect, or probe the connection.
+    /// Connect, or probe the open connection.
     Connect,
-    /// Send the first order of a run.
-    Open { run: ids::RunId, incarnation: ids::Incarnation, order: message::ToAgent, sink: Sink },
-    /// Send a further order.
+    /// Open a run by sending its first message.
+    Open { run: ids::RunId, incarnation: ids::Incarnation, message: message::ToAgent, sink: Sink },
+    /// Send a message that opens no run.
     Send(message::ToAgent),
     /// Cancel a run.
-    Close(ids::RunId),
+    Cancel(ids::RunId),
 }
 
-/// Where the events of a run go.
+/// Sender of the events of a run.
 pub(crate) type Sink = mpsc::Sender<Event>;
--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -35,7 +35,7 @@
     address: net::SocketAddr,
     lifecycle: lifecycle::Lifecycle,
     commands: mpsc::UnboundedReceiver<channel::Command>,
-    reach: watch::Sender<channel::Reach>,
+    reachability: watch::Sender<channel::Reachability>,
     runs: collections::BTreeMap<ids::RunId, OpenRun>,
     // Whether a request waits for the connection.
     is_awaited: bool,
@@ -49,7 +49,7 @@
         server: &str,
         address: net::SocketAddr,
         commands: mpsc::UnboundedReceiver<channel::Command>,
-        reach: watch::Sender<channel::Reach>,
+        reachability: watch::Sender<channel::Reachability>,
     ) -> ConnectionManager {
         ConnectionManager {
             identity,
@@ -58,7 +58,7 @@
             address,
             lifecycle: lifecycle::Lifecycle::new(),
             commands,
-            reach,
+            reachability,
             runs: collections::BTreeMap::new(),
             is_awaited: false,
         }
@@ -94,7 +94,7 @@
 
     fn record_failure(&mut self) {
         self.is_awaited = false;
-        self.reach.send_modify(|reach| reach.failures += 1);
+        self.reachability.send_modify(|reachability| reachability.failures += 1);
     }
 
     fn handle_refused(&mut self) {
@@ -113,7 +113,7 @@
                     let refusal = Refusal::not_run(Reason::NoServer, RETRY_SOON);
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                 }
-                Some(channel::Command::Send(_) | channel::Command::Close(_)) => {}
+                Some(channel::Command::Send(_) | channel::Command::Cancel(_)) => {}
                 None => return false,
             }
         }
@@ -134,11 +134,11 @@
     }
 
     fn record_pong(&mut self, incarnation: ids::Incarnation, pong: &message::Pong) {
-        let heard_at = clock::now();
-        let contact = channel::Contact { incarnation, clock_ms: pong.clock_ms, heard_at };
+        let reported_at = clock::now();
+        let agent = channel::AgentState { incarnation, clock_ms: pong.clock_ms, reported_at };
         self.is_awaited = false;
-        self.reach.send_modify(|reach| reach.contact = Some(contact));
-        self.directory.view().hear(&self.server, pong.load, heard_at);
+        self.reachability.send_modify(|reachability| reachability.agent = Some(agent));
+        self.directory.view().hear(&self.server, pong.load, reported_at);
         self.directory.note_version(pong.version);
     }
 
@@ -171,7 +171,7 @@
                 break;
             }
         }
-        self.reach.send_modify(|reach| reach.contact = None);
+        self.reachability.send_modify(|reachability| reachability.agent = None);
         self.lifecycle.handle(lifecycle::Event::Disconnected(clock::now()));
     }
 
@@ -200,7 +200,7 @@
                     let refusal = Refusal::not_run(Reason::NoServer, RETRY_SOON);
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                 }
-                channel::Command::Close(run) => {
+                channel::Command::Cancel(run) => {
                     self.runs.remove(&run);
                 }
                 channel::Command::Connect => self.is_awaited = true,
@@ -226,7 +226,7 @@
                 let version = self.directory.view().version();
                 connection.ping(version, PROBE_TIMEOUT).await
             }
-            channel::Command::Open { run, incarnation, order, sink } => {
+            channel::Command::Open { run, incarnation, message, sink } => {
                 // The message's times are on the clock of one incarnation of the agent.
                 if self.lifecycle.incarnation() != Some(incarnation) {
                     let refusal = Refusal::not_run(Reason::NoServer, RETRY_SOON);
@@ -235,10 +235,10 @@
                 }
                 let assembly = assembly::Assembly::default();
                 self.runs.insert(run, OpenRun { sink, assembly, has_head: false });
-                connection.send(&order).await && self.keep_alive(connection).await
+                connection.send(&message).await && self.keep_alive(connection).await
             }
             channel::Command::Send(message) => connection.send(&message).await,
-            channel::Command::Close(run) => {
+            channel::Command::Cancel(run) => {
                 self.runs.remove(&run);
                 connection.send(&message::ToAgent::Cancel(run)).await
             }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -17,7 +17,7 @@
 pub(crate) struct Peer {
     pub(crate) address: net::SocketAddr,
     commands: mpsc::UnboundedSender<channel::Command>,
-    reach: watch::Receiver<channel::Reach>,
+    reachability: watch::Receiver<channel::Reachability>,
 }
 
 /// An open run; dropping it cancels the run at the agent.
@@ -43,56 +43,56 @@
         address: net::SocketAddr,
     ) -> Peer {
         let (commands, receiver) = mpsc::unbounded_channel();
-        let (sender, reach) = watch::channel(channel::Reach::default());
+        let (sender, reachability) = watch::channel(channel::Reachability::default());
         let manager = connection_manager::ConnectionManager::new(
             identity, directory, server, address, receiver, sender,
         );
         tokio::spawn(manager.run());
-        Peer { address, commands, reach }
+        Peer { address, commands, reachability }
     }
 
     /// Waits for a connection on which the agent was heard lately, until an attempt to connect has
     /// failed.
     ///
     /// A connection that was idle may have gone silent for good, so it is probed before use.
-    pub(crate) async fn contact(&self) -> Option<channel::Contact> {
-        let mut reach = self.reach.clone();
+    pub(crate) async fn contact(&self) -> Option<channel::AgentState> {
+        let mut reachability = self.reachability.clone();
         let oldest = clock::now().checked_sub(FRESH);
-        let before = *reach.borrow();
-        if let Some(contact) = before.heard_after(oldest) {
+        let before = *reachability.borrow();
+        if let Some(contact) = before.reported_after(oldest) {
             return Some(contact);
         }
         self.commands.send(channel::Command::Connect).ok()?;
-        let wait = reach.wait_for(|reach| {
-            reach.heard_after(oldest).is_some() || reach.failures > before.failures
+        let wait = reachability.wait_for(|reachability| {
+            reachability.reported_after(oldest).is_some() || reachability.failures > before.failures
         });
         let found = tokio::time::timeout(connector::CONNECT_TIMEOUT, wait).await.ok()?.ok()?;
-        found.heard_after(oldest)
+        found.reported_after(oldest)
     }
 
     /// Opens a run with its first order, made for `contact`.
     pub(crate) fn start(
         &self,
         run: ids::RunId,
-        contact: channel::Contact,
-        order: message::ToAgent,
+        contact: channel::AgentState,
+        message: message::ToAgent,
     ) -> Run {
         let (sink, events) = mpsc::channel(EVENTS);
         let incarnation = contact.incarnation;
-        let _ = self.commands.send(channel::Command::Open { run, incarnation, order, sink });
+        let _ = self.commands.send(channel::Command::Open { run, incarnation, message, sink });
         Run { id: run, commands: self.commands.clone(), events, ended: false }
     }
 
     /// Sends an order that opens no run.
-    pub(crate) fn send(&self, order: message::ToAgent) {
-        let _ = self.commands.send(channel::Command::Send(order));
+    pub(crate) fn send(&self, message: message::ToAgent) {
+        let _ = self.commands.send(channel::Command::Send(message));
     }
 }
 
 impl Run {
     /// Sends a further order for the run.
-    pub(crate) fn send(&self, order: message::ToAgent) {
-        let _ = self.commands.send(channel::Command::Send(order));
+    pub(crate) fn send(&self, message: message::ToAgent) {
+        let _ = self.commands.send(channel::Command::Send(message));
     }
 
     /// Next event; a lost connection counts as a failure with unknown outcome.
@@ -110,7 +110,7 @@
 impl Drop for Run {
     fn drop(&mut self) {
         if !self.ended {
-            let _ = self.commands.send(channel::Command::Close(self.id));
+            let _ = self.commands.send(channel::Command::Cancel(self.id));
         }
     }
 }
