--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -133,7 +133,7 @@
         let Some(peer) = self.ticket.entry.backend.peer(&server) else {
             return self.unreachable(Some(server), keyed);
         };
-        let Some(contact) = peer.contact().await else {
+        let Some(contact) = peer.connect().await else {
             placing::note_end(
                 &self.ticket,
                 &server,
@@ -200,7 +200,7 @@
 
     async fn prefill_at(&mut self, server: &ids::ServerName) -> flow::Event {
         let contact = match self.ticket.entry.backend.peer(server) {
-            Some(peer) => peer.contact().await.map(|contact| (peer, contact)),
+            Some(peer) => peer.connect().await.map(|contact| (peer, contact)),
             None => None,
         };
         let Some((peer, contact)) = contact else {
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -73,7 +73,7 @@
     let followed = entry.directory.view().followed();
     for (server, _) in followed.iter().take(1) {
         if let Some(peer) = entry.backend.peer(server)
-            && peer.contact().await.is_some()
+            && peer.connect().await.is_some()
         {
             peer.send(message::ToAgent::WantList(entry.directory.view().version()));
         }
@@ -91,7 +91,7 @@
 /// Sends the list to the agent of `server`, which cannot read the table itself.
 pub(crate) async fn push(entry: Shared, server: ids::ServerName, version: ids::ListVersion) {
     let Some(peer) = entry.backend.peer(&server) else { return };
-    if peer.contact().await.is_some()
+    if peer.connect().await.is_some()
         && let Some(copy) = entry.directory.copy(version)
     {
         peer.send(message::ToAgent::List(copy));
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! Connection to the agent of one server, shared by all requests of the entry.
+//! Handle of the connection to the agent of one server, and of the runs on it.
 
 use std::{net, sync, time};
 
@@ -12,7 +12,7 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
-/// Handle of a connection.
+/// Handle of the connection to an agent, shared by all requests of the entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) address: net::SocketAddr,
@@ -20,22 +20,23 @@
     reachability: watch::Receiver<channel::Reachability>,
 }
 
-/// An open run; dropping it cancels the run at the agent.
+/// An open run; dropping it before its last event cancels the run at the agent.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) id: ids::RunId,
     commands: mpsc::UnboundedSender<channel::Command>,
     events: mpsc::Receiver<channel::Event>,
-    ended: bool,
+    has_ended: bool,
 }
 
-/// A link on which the agent was heard in this time is used without a probe.
-const FRESH: time::Duration = time::Duration::from_secs(2);
-// An answer is limited in bytes at the agent, so this many pieces are bounded too.
-const EVENTS: usize = 8192;
+/// A connection is used without a probe if the agent reported its state within this time.
+const PROBE_AFTER: time::Duration = time::Duration::from_secs(2);
+/// Events that may wait for a request. The agent limits the bytes of a response, which bounds the
+/// memory of a full buffer.
+const EVENT_BUFFER: usize = 8192;
 
 impl Peer {
-    /// Starts the task that keeps the connection.
+    /// Starts the task that maintains the connection.
     pub(crate) fn open(
         identity: sync::Arc<connector::Identity>,
         directory: sync::Arc<directory::Directory>,
@@ -51,55 +52,55 @@
         Peer { address, commands, reachability }
     }
 
-    /// Waits for a connection on which the agent was heard lately, until an attempt to connect has
-    /// failed.
+    /// Returns the state of the agent once it is recent; `None` if an attempt to connect fails or
+    /// the timeout expires.
     ///
-    /// A connection that was idle may have gone silent for good, so it is probed before use.
-    pub(crate) async fn contact(&self) -> Option<channel::AgentState> {
+    /// An idle connection is probed before use, because the agent may no longer respond on it.
+    pub(crate) async fn connect(&self) -> Option<channel::AgentState> {
         let mut reachability = self.reachability.clone();
-        let oldest = clock::now().checked_sub(FRESH);
+        let oldest = clock::now().checked_sub(PROBE_AFTER);
         let before = *reachability.borrow();
-        if let Some(contact) = before.reported_after(oldest) {
-            return Some(contact);
+        if let Some(agent) = before.reported_after(oldest) {
+            return Some(agent);
         }
         self.commands.send(channel::Command::Connect).ok()?;
         let wait = reachability.wait_for(|reachability| {
             reachability.reported_after(oldest).is_some() || reachability.failures > before.failures
         });
-        let found = tokio::time::timeout(connector::CONNECT_TIMEOUT, wait).await.ok()?.ok()?;
-        found.reported_after(oldest)
+        let current = tokio::time::timeout(connector::CONNECT_TIMEOUT, wait).await.ok()?.ok()?;
+        current.reported_after(oldest)
     }
 
-    /// Opens a run with its first order, made for `contact`.
+    /// Opens a run by sending its first message, whose times are on the clock of `agent`.
     pub(crate) fn start(
         &self,
         run: ids::RunId,
-        contact: channel::AgentState,
+        agent: channel::AgentState,
         message: message::ToAgent,
     ) -> Run {
-        let (sink, events) = mpsc::channel(EVENTS);
-        let incarnation = contact.incarnation;
+        let (sink, events) = mpsc::channel(EVENT_BUFFER);
+        let incarnation = agent.incarnation;
         let _ = self.commands.send(channel::Command::Open { run, incarnation, message, sink });
-        Run { id: run, commands: self.commands.clone(), events, ended: false }
+        Run { id: run, commands: self.commands.clone(), events, has_ended: false }
     }
 
-    /// Sends an order that opens no run.
+    /// Sends a message that opens no run.
     pub(crate) fn send(&self, message: message::ToAgent) {
         let _ = self.commands.send(channel::Command::Send(message));
     }
 }
 
 impl Run {
-    /// Sends a further order for the run.
+    /// Sends a further message for the run.
     pub(crate) fn send(&self, message: message::ToAgent) {
         let _ = self.commands.send(channel::Command::Send(message));
     }
 
-    /// Next event; a lost connection counts as a failure with unknown outcome.
+    /// Waits for the next event; a lost connection is a failure with unknown outcome.
     pub(crate) async fn next(&mut self) -> channel::Event {
         let lost = channel::Event::Refused(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         let event = self.events.recv().await.unwrap_or(lost);
-        self.ended = matches!(
+        self.has_ended = matches!(
             event,
             channel::Event::Refused(_) | channel::Event::End | channel::Event::Prefilled(_)
         );
@@ -109,7 +110,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             let _ = self.commands.send(channel::Command::Cancel(self.id));
         }
     }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -102,7 +102,7 @@
         let Some(peer) = self.ticket.entry.backend.peer(server) else {
             return self.failed(Some(server.clone()), unreachable);
         };
-        let Some(contact) = peer.contact().await else {
+        let Some(contact) = peer.connect().await else {
             return self.failed(Some(server.clone()), unreachable);
         };
         let run = self.ticket.entry.backend.next_run();
