--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -130,7 +130,7 @@
             self.ticket.entry.directory.want();
             return self.unreachable(None, keyed);
         };
-        let Some(peer) = self.ticket.entry.backend.peer(&server) else {
+        let Some(peer) = self.ticket.entry.peers.get(&server) else {
             return self.unreachable(Some(server), keyed);
         };
         let Some(contact) = peer.connect().await else {
@@ -143,7 +143,7 @@
             return self.unreachable(Some(server), keyed);
         };
         let wait_by = self.ticket.deadline.min(clock::now() + self.targets.max_wait);
-        let run = self.ticket.entry.backend.next_run();
+        let run = self.ticket.entry.peers.next_run_id();
         let order = message::ToAgent::Reserve(message::Reserve {
             run,
             key: self.ticket.key.as_ref().map(|key| key.hash),
@@ -199,14 +199,14 @@
     }
 
     async fn prefill_at(&mut self, server: &ids::ServerName) -> flow::Event {
-        let contact = match self.ticket.entry.backend.peer(server) {
+        let contact = match self.ticket.entry.peers.get(server) {
             Some(peer) => peer.connect().await.map(|contact| (peer, contact)),
             None => None,
         };
         let Some((peer, contact)) = contact else {
             return self.unreachable(Some(server.clone()), false);
         };
-        let run = self.ticket.entry.backend.next_run();
+        let run = self.ticket.entry.peers.next_run_id();
         let order = message::ToAgent::Prefill(message::Prefill {
             run,
             start_by_ms: contact.clock_at(self.ticket.deadline),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -7,7 +7,7 @@
 use rhubarb_core::{ids, limit, outcome, usage};
 use rhubarb_node::{client, clock, locks, metrics, objects, table};
 
-use crate::{backend, connector, directory, settings, view};
+use crate::{connector, directory, peers, settings, view};
 
 /// One entry.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     pub(crate) objects: objects::Objects,
     pub(crate) metrics: Counters,
     pub(crate) directory: sync::Arc<directory::Directory>,
-    pub(crate) backend: backend::Backend,
+    pub(crate) peers: peers::Peers,
     stopped_at: sync::OnceLock<time::Instant>,
     pub(crate) open: atomic::AtomicU64,
     limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::Limit>>,
@@ -60,7 +60,7 @@
         let (name, keys) = (settings.name.clone(), settings.keys.clone());
         let identity = connector::Identity { name, incarnation, keys };
         Entry {
-            backend: backend::Backend::new(identity, directory.clone()),
+            peers: peers::Peers::new(identity, directory.clone()),
             directory,
             table: table::Table::new(client.clone(), &settings.platform.table),
             objects: objects::Objects::new(client.clone(), &settings.platform.objects),
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -44,7 +44,7 @@
             continue;
         }
         let follow = datagram::Follow {
-            incarnation: entry.backend.incarnation(),
+            incarnation: entry.peers.incarnation(),
             seq,
             version,
             leaving: leaving.contains(&name),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -11,7 +11,6 @@
 pub mod settings;
 
 mod admit;
-mod backend;
 mod channel;
 mod completion;
 mod connection_manager;
@@ -25,6 +24,7 @@
 mod lists;
 mod openai;
 mod peer;
+mod peers;
 mod placing;
 mod plain;
 mod refuse;
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -22,7 +22,7 @@
         match instances_read {
             Ok(seen) => {
                 entry.directory.view().take_instances(seen, clock::now());
-                entry.backend.drop_old();
+                entry.peers.drop_unlisted();
             }
             Err(err) => tracing::debug!("entry: instance list not read: {err}"),
         }
@@ -72,7 +72,7 @@
 async fn ask_peers(entry: &Shared) {
     let followed = entry.directory.view().followed();
     for (server, _) in followed.iter().take(1) {
-        if let Some(peer) = entry.backend.peer(server)
+        if let Some(peer) = entry.peers.get(server)
             && peer.connect().await.is_some()
         {
             peer.send(message::ToAgent::WantList(entry.directory.view().version()));
@@ -80,7 +80,7 @@
     }
     if followed.is_empty() {
         for seed in &entry.settings.seeds {
-            if let Some(copy) = entry.backend.fetch_list(*seed).await {
+            if let Some(copy) = entry.peers.fetch_list(*seed).await {
                 entry.directory.take_copy(&copy);
                 return;
             }
@@ -90,7 +90,7 @@
 
 /// Sends the list to the agent of `server`, which cannot read the table itself.
 pub(crate) async fn push(entry: Shared, server: ids::ServerName, version: ids::ListVersion) {
-    let Some(peer) = entry.backend.peer(&server) else { return };
+    let Some(peer) = entry.peers.get(&server) else { return };
     if peer.connect().await.is_some()
         && let Some(copy) = entry.directory.copy(version)
     {
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! How a server is reached: one connection to the agent of each, opened on first use.
+//! Connections to agents, one for each server, opened on first use.
 
 use std::{collections, net, sync, sync::atomic};
 
@@ -8,25 +8,25 @@
 
 use crate::{connector, directory, peer};
 
-/// Connections of an entry to agents.
+/// Connections of the entry to agents.
 #[derive(Debug)]
-pub(crate) struct Backend {
+pub(crate) struct Peers {
     identity: sync::Arc<connector::Identity>,
     directory: sync::Arc<directory::Directory>,
     peers: sync::Mutex<collections::BTreeMap<ids::ServerName, peer::Peer>>,
-    seq: atomic::AtomicU64,
+    next_seq: atomic::AtomicU64,
 }
 
-impl Backend {
+impl Peers {
     pub(crate) fn new(
         identity: connector::Identity,
         directory: sync::Arc<directory::Directory>,
-    ) -> Backend {
-        Backend {
+    ) -> Peers {
+        Peers {
             identity: sync::Arc::new(identity),
             directory,
             peers: sync::Mutex::default(),
-            seq: atomic::AtomicU64::new(1),
+            next_seq: atomic::AtomicU64::new(1),
         }
     }
 
@@ -34,13 +34,13 @@
         self.identity.incarnation
     }
 
-    /// Id for a new attempt.
-    pub(crate) fn next_run(&self) -> ids::RunId {
-        ids::run_id(self.incarnation(), self.seq.fetch_add(1, atomic::Ordering::Relaxed))
+    /// Returns the id of a new run.
+    pub(crate) fn next_run_id(&self) -> ids::RunId {
+        ids::run_id(self.incarnation(), self.next_seq.fetch_add(1, atomic::Ordering::Relaxed))
     }
 
-    /// Connection to the agent of `server`; `None` if its address is not known.
-    pub(crate) fn peer(&self, server: &str) -> Option<peer::Peer> {
+    /// Returns the connection to the agent of `server`; `None` if its address is not known.
+    pub(crate) fn get(&self, server: &str) -> Option<peer::Peer> {
         let address = self.directory.view().address(server)?;
         let mut peers = locks::lock(&self.peers);
         if let Some(peer) = peers.get(server).filter(|peer| peer.address == address) {
@@ -52,14 +52,14 @@
         Some(peer)
     }
 
-    /// Drops the connections to the agents of servers that are no longer listed.
-    pub(crate) fn drop_old(&self) {
-        let known: collections::BTreeSet<_> =
+    /// Drops the connections to servers that are no longer in the instance list.
+    pub(crate) fn drop_unlisted(&self) {
+        let listed: collections::BTreeSet<_> =
             self.directory.view().instances.keys().cloned().collect();
-        locks::lock(&self.peers).retain(|name, _| known.contains(name));
+        locks::lock(&self.peers).retain(|name, _| listed.contains(name));
     }
 
-    /// Asks the agent at `address` for its service list.
+    /// Requests the service list of the agent at `address`.
     pub(crate) async fn fetch_list(&self, address: net::SocketAddr) -> Option<message::ListCopy> {
         connector::fetch_list(&self.identity, address).await
     }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -99,13 +99,13 @@
     }
 
     async fn attempt_at(&mut self, server: &ids::ServerName, unreachable: Refusal) -> flow::Event {
-        let Some(peer) = self.ticket.entry.backend.peer(server) else {
+        let Some(peer) = self.ticket.entry.peers.get(server) else {
             return self.failed(Some(server.clone()), unreachable);
         };
         let Some(contact) = peer.connect().await else {
             return self.failed(Some(server.clone()), unreachable);
         };
-        let run = self.ticket.entry.backend.next_run();
+        let run = self.ticket.entry.peers.next_run_id();
         let order = message::ToAgent::Offer(offer::Offer {
             run,
             key: self.ticket.key.as_ref().map(|key| key.hash),
