--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Follows the load of a bounded part of each pool by UDP.
+//! Requests and receives load reports by UDP from the followed servers, a bounded subset of each
+//! pool.
 
 use std::{collections, sync, time};
 
@@ -10,27 +11,28 @@
 
 use crate::{entry, lists};
 
-const TICK: time::Duration = time::Duration::from_millis(100);
+/// Time between two checks for due requests.
+const CHECK_PERIOD: time::Duration = time::Duration::from_millis(100);
 
-/// Follows until the task is dropped.
+/// Requests and receives load reports until the task is dropped.
 pub(crate) async fn run(entry: sync::Arc<entry::Entry>, socket: net::UdpSocket) {
     let socket = sync::Arc::new(socket);
-    tokio::spawn(hear(entry.clone(), socket.clone()));
+    tokio::spawn(receive_reports(entry.clone(), socket.clone()));
     let mut seq = 0;
-    let mut asked = collections::BTreeMap::new();
+    let mut requested_at = collections::BTreeMap::new();
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         seq += 1;
-        ask(&entry, &socket, seq, &mut asked).await;
+        request_reports(&entry, &socket, seq, &mut requested_at).await;
     }
 }
 
-// Each server has its own turn, so that datagrams do not come in bursts.
-async fn ask(
+// Each server has its own request time, so that datagrams are not sent in bursts.
+async fn request_reports(
     entry: &entry::Entry,
     socket: &net::UdpSocket,
     seq: u64,
-    asked: &mut collections::BTreeMap<ids::ServerName, time::Instant>,
+    requested_at: &mut collections::BTreeMap<ids::ServerName, time::Instant>,
 ) {
     let now = clock::now();
     let (followed, leaving, ready, version) = {
@@ -38,9 +40,9 @@
         (view.followed(), view.leaving(), view.depends_ready(), view.version())
     };
     let period = subset::period(followed.len());
-    asked.retain(|name, _| followed.iter().any(|(other, _)| other == name));
+    requested_at.retain(|name, _| followed.iter().any(|(other, _)| other == name));
     for (name, address) in followed {
-        if asked.get(&name).is_some_and(|last| now < *last + period) {
+        if requested_at.get(&name).is_some_and(|last| now < *last + period) {
             continue;
         }
         let follow = datagram::Follow {
@@ -50,14 +52,14 @@
             leaving: leaving.contains(&name),
             depends_ready: ready.contains(&name),
         };
-        asked.insert(name, now);
+        requested_at.insert(name, now);
         let bytes = datagram::encode(&entry.settings.keys, &datagram::Heartbeat::Follow(follow));
         let _ = socket.send_to(&bytes, address).await;
     }
 }
 
-async fn hear(entry: sync::Arc<entry::Entry>, socket: sync::Arc<net::UdpSocket>) {
-    let mut newest: collections::BTreeMap<ids::ServerName, u64> = collections::BTreeMap::new();
+async fn receive_reports(entry: sync::Arc<entry::Entry>, socket: sync::Arc<net::UdpSocket>) {
+    let mut last_seqs: collections::BTreeMap<ids::ServerName, u64> = collections::BTreeMap::new();
     let mut buffer = [0; datagram::MAX_BYTES + 1];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
@@ -66,8 +68,8 @@
         else {
             continue;
         };
-        // Late and repeated datagrams must not overwrite newer loads.
-        let last = newest.entry(report.server.clone()).or_default();
+        // Delayed and duplicate datagrams must not overwrite newer loads.
+        let last = last_seqs.entry(report.server.clone()).or_default();
         if report.seq <= *last {
             continue;
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -17,7 +17,7 @@
 mod connector;
 mod directory;
 mod entry;
-mod follow;
+mod heartbeats;
 mod ingress;
 mod ledger;
 mod lifecycle;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -6,7 +6,7 @@
 
 use rhubarb_node::{clock, server, signals};
 
-use crate::{entry, follow, ingress, ledger, lists, settings};
+use crate::{entry, heartbeats, ingress, ledger, lists, settings};
 
 const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
 const LAST_STORE: time::Duration = time::Duration::from_secs(10);
@@ -23,7 +23,7 @@
     let entry = sync::Arc::new(entry::Entry::new(settings));
     tracing::info!("entry: started as {}", entry.settings.name);
     tokio::spawn(lists::follow(entry.clone()));
-    tokio::spawn(follow::run(entry.clone(), udp));
+    tokio::spawn(heartbeats::run(entry.clone(), udp));
     let flushing = tokio::spawn(ledger::run(entry.clone()));
     let shared = entry.clone();
     tokio::spawn(server::serve(listener, limits, move |request| {
