--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -102,7 +102,7 @@
     caller: &list::Caller,
     now: time::Instant,
 ) -> Result<(), Refusal> {
-    let entries = entry.directory.view().entries();
+    let entries = entry.directory.view().entry_count();
     let mut limits = entry.limits();
     let fresh = || limit::Limit::new(caller.rate, entries, now);
     let limit = limits.entry(caller.name.clone()).or_insert_with(fresh);
--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -138,7 +138,7 @@
         let agent = channel::AgentState { incarnation, clock_ms: pong.clock_ms, reported_at };
         self.is_awaited = false;
         self.reachability.send_modify(|reachability| reachability.agent = Some(agent));
-        self.directory.view().hear(&self.server, pong.load, reported_at);
+        self.directory.view().update_load(&self.server, pong.load, reported_at);
         self.directory.note_version(pong.version);
     }
 
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -45,7 +45,7 @@
 
     /// Takes news; tells whether a newer list is in force now.
     pub(crate) fn take(&self, news: &service_list::ListUpdate) -> bool {
-        let is_new = self.view().take_news(news, clock::now());
+        let is_new = self.view().apply_update(news, clock::now());
         if is_new {
             let version = self.view().version();
             self.version.set(version as i64);
@@ -60,11 +60,11 @@
             self.take(&news);
         }
         let mut view = self.view();
-        if view.read_instances {
+        if view.has_instances {
             return;
         }
         match serde_json::from_str::<Vec<instances::Instance>>(&copy.instances) {
-            Ok(seen) if !seen.is_empty() => view.take_instances(seen, clock::now()),
+            Ok(seen) if !seen.is_empty() => view.update_instances(seen, clock::now()),
             Ok(_) => {}
             Err(err) => tracing::warn!("entry: an agent's instance list is not readable: {err}"),
         }
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -164,7 +164,7 @@
     let view = entry.directory.view();
     if entry.is_stopping() {
         response::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
-    } else if view.version() == 0 || !view.read_instances {
+    } else if view.version() == 0 || !view.has_instances {
         response::text(StatusCode::SERVICE_UNAVAILABLE, "no service list or instances yet\n")
     } else {
         response::text(StatusCode::OK, "ready\n")
@@ -180,7 +180,7 @@
         "open": entry.open.load(sync::atomic::Ordering::Relaxed),
         "instances": view.instances.len(),
         "followed": view.followed().len(),
-        "usable": view.usable(clock::now()),
+        "usable": view.usable_count(clock::now()),
     });
     response::json(StatusCode::OK, &status)
 }
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -21,7 +21,7 @@
         let (list_read, instances_read) = tokio::join!(poll(&entry), instances.read());
         match instances_read {
             Ok(seen) => {
-                entry.directory.view().take_instances(seen, clock::now());
+                entry.directory.view().update_instances(seen, clock::now());
                 entry.peers.drop_unlisted();
             }
             Err(err) => tracing::debug!("entry: instance list not read: {err}"),
@@ -31,7 +31,7 @@
         }
         let is_complete = {
             let view = entry.directory.view();
-            view.version() > 0 && view.read_instances
+            view.version() > 0 && view.has_instances
         };
         let period = if is_complete { clock::jitter(POLL) } else { HURRY };
         tokio::select! {
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/placing.rs
@@ -25,7 +25,7 @@
     if let Some(key) = &ticket.key
         && role != list::Role::Prefill
     {
-        return view.home(service, key.hash);
+        return view.owner(service, key.hash);
     }
     let affinity = prompt.map(hash_prefix);
     let work = match prompt {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of services, servers and instances.
+//! An entry's view of services, servers and instances.
 
 use std::{collections, net, time};
 
@@ -7,83 +7,84 @@
 use rhubarb_core::{budget, fair, ids, list, load, owner, pace, pool, revisions, subset};
 use rhubarb_node::{instances, service_list};
 
-/// Pools by service and role.
+/// Key of a pool: its service and role.
 pub(crate) type PoolKey = (ids::ServiceName, list::Role);
 
-/// Load reports that may be missed before a server is suspect.
-const MISSED_REPORTS: u32 = 3;
+/// Consecutive load reports that may be missing before a server is suspect.
+const MAX_MISSED_REPORTS: u32 = 3;
+/// Additional time for a delayed load report.
 const REPORT_SLACK: time::Duration = time::Duration::from_millis(300);
 
-/// View of one entry.
+/// Service list, instances and pools, as one entry knows them.
 #[derive(Debug)]
 pub(crate) struct View {
     name: String,
     zone: ids::ZoneName,
-    size: usize,
-    editions: revisions::Revisions,
+    subset_size: usize,
+    revisions: revisions::Revisions,
     pub(crate) instances: collections::BTreeMap<ids::ServerName, instances::Instance>,
-    pub(crate) read_instances: bool,
+    pub(crate) has_instances: bool,
     pools: collections::BTreeMap<PoolKey, pool::Pool>,
     candidates: collections::BTreeMap<PoolKey, Vec<subset::Candidate>>,
     members: collections::BTreeMap<ids::ServiceName, owner::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::Budget>,
-    fairs: collections::BTreeMap<ids::ServiceName, fair::Fair>,
+    fair_shares: collections::BTreeMap<ids::ServiceName, fair::Fair>,
     paces: collections::BTreeMap<ids::ServiceName, pace::Pace>,
-    digests: collections::BTreeMap<String, ids::CallerName>,
+    key_digests: collections::BTreeMap<String, ids::CallerName>,
 }
 
 impl View {
-    pub(crate) fn new(name: &str, zone: &str, size: usize) -> View {
+    pub(crate) fn new(name: &str, zone: &str, subset_size: usize) -> View {
         View {
             name: name.to_string(),
             zone: zone.to_string(),
-            size,
-            editions: revisions::Revisions::default(),
+            subset_size,
+            revisions: revisions::Revisions::default(),
             instances: collections::BTreeMap::new(),
-            read_instances: false,
+            has_instances: false,
             pools: collections::BTreeMap::new(),
             candidates: collections::BTreeMap::new(),
             members: collections::BTreeMap::new(),
             budgets: collections::BTreeMap::new(),
-            fairs: collections::BTreeMap::new(),
+            fair_shares: collections::BTreeMap::new(),
             paces: collections::BTreeMap::new(),
-            digests: collections::BTreeMap::new(),
+            key_digests: collections::BTreeMap::new(),
         }
     }
 
     /// Version of the list in force; 0 while there is none.
     pub(crate) fn version(&self) -> ids::ListVersion {
-        self.editions.version()
+        self.revisions.version()
     }
 
     /// List in force.
     pub(crate) fn list(&self) -> &list::ServiceList {
-        &self.editions.current().list
+        &self.revisions.current().list
     }
 
-    /// What a peer with `version` needs to come up to date.
+    /// Update for a peer that has `version`; `None` if it is up to date.
     pub(crate) fn update_from(&self, version: ids::ListVersion) -> Option<revisions::Update> {
-        self.editions.update_from(version)
+        self.revisions.update_from(version)
     }
 
-    /// Takes news of the list; tells whether a newer one is in force now.
-    pub(crate) fn take_news(
+    /// Applies an update of the service list; returns whether a newer list is in force.
+    pub(crate) fn apply_update(
         &mut self,
-        news: &service_list::ListUpdate,
+        update: &service_list::ListUpdate,
         now: time::Instant,
     ) -> bool {
-        let Some(touched) = service_list::apply_update(&mut self.editions, news) else {
+        let Some(affected) = service_list::apply_update(&mut self.revisions, update) else {
             return false;
         };
-        match touched {
+        match affected {
             revisions::Affected::All => {
-                self.digests.clear();
+                self.key_digests.clear();
                 let callers: Vec<_> = self.list().callers.keys().cloned().collect();
                 self.index_callers(&callers);
                 self.rebuild(now);
             }
             revisions::Affected::Part { callers, services } => {
-                self.digests.retain(|_, name| !callers.contains(name));
+                self.key_digests.retain(|_, name| !callers.contains(name));
                 self.index_callers(&callers);
                 if services {
                     self.rebuild(now);
@@ -95,33 +96,37 @@
 
     fn index_callers(&mut self, names: &[ids::CallerName]) {
         for name in names {
-            let Some(caller) = self.editions.current().list.callers.get(name) else { continue };
+            let Some(caller) = self.revisions.current().list.callers.get(name) else { continue };
             for key in &caller.keys {
-                self.digests.insert(key.clone(), name.clone());
+                self.key_digests.insert(key.clone(), name.clone());
             }
         }
     }
 
-    /// Takes a new instance list.
-    pub(crate) fn take_instances(&mut self, seen: Vec<instances::Instance>, now: time::Instant) {
-        let is_same = seen.len() == self.instances.len()
-            && seen.iter().all(|instance| self.instances.get(&instance.name) == Some(instance));
-        if is_same && self.read_instances {
+    /// Replaces the instance list.
+    pub(crate) fn update_instances(
+        &mut self,
+        listed: Vec<instances::Instance>,
+        now: time::Instant,
+    ) {
+        let is_same = listed.len() == self.instances.len()
+            && listed.iter().all(|instance| self.instances.get(&instance.name) == Some(instance));
+        if is_same && self.has_instances {
             return;
         }
-        for instance in &seen {
+        for instance in &listed {
             let old = self.instances.get(&instance.name);
             if old.is_some_and(|old| old.address != instance.address) {
                 self.forget_process(&instance.name);
             }
         }
         self.instances =
-            seen.into_iter().map(|instance| (instance.name.clone(), instance)).collect();
-        self.read_instances = true;
+            listed.into_iter().map(|instance| (instance.name.clone(), instance)).collect();
+        self.has_instances = true;
         self.rebuild(now);
     }
 
-    // A new address means a new process, of which nothing is known yet.
+    // A new address means a new process, whose load and health are not known yet.
     fn forget_process(&mut self, server: &str) {
         for (key, pool) in &mut self.pools {
             if pool.get(server).is_some() {
@@ -138,18 +143,19 @@
             for role in [list::Role::Prefill, list::Role::Decode, list::Role::Plain] {
                 self.rebuild_pool(service, role);
             }
-            let gone = |name: &str| !self.instances.contains_key(name);
+            let is_gone = |name: &str| !self.instances.contains_key(name);
             let members = self.members.entry(service.name.clone()).or_default();
-            members.observe(service.servers(), gone, now);
+            members.observe(service.servers(), is_gone, now);
             members.forget(service.servers(), service.window, now);
         }
         self.tune_pools();
     }
 
-    // Reports are asked for the less often, the more servers are followed.
+    // Load reports are requested less often if more servers are followed, so the age at which a
+    // server is suspect grows with their number.
     fn tune_pools(&mut self) {
         let followed: usize = self.pools.values().map(|pool| pool.names().count()).sum();
-        let suspect_after = subset::period(followed) * MISSED_REPORTS + REPORT_SLACK;
+        let suspect_after = subset::period(followed) * MAX_MISSED_REPORTS + REPORT_SLACK;
         for pool in self.pools.values_mut() {
             pool.set_tuning(pool::Tuning { suspect_after: Some(suspect_after), backoff: true });
         }
@@ -166,10 +172,10 @@
             })
             .collect();
         let key = (service.name.clone(), role);
-        let fresh = || pool::Pool::new(self.zone.clone());
-        let pool = self.pools.entry(key.clone()).or_insert_with(fresh);
+        let new_pool = || pool::Pool::new(self.zone.clone());
+        let pool = self.pools.entry(key.clone()).or_insert_with(new_pool);
         if self.candidates.get(&key) != Some(&candidates) {
-            let chosen = subset::choose(&self.name, &self.zone, &candidates, self.size);
+            let chosen = subset::choose(&self.name, &self.zone, &candidates, self.subset_size);
             pool.retain(|name| chosen.iter().any(|other| other == name));
             let is_chosen = |candidate: &&subset::Candidate| chosen.contains(&candidate.name);
             for candidate in candidates.iter().filter(is_chosen) {
@@ -187,10 +193,10 @@
 
     /// Caller whose key has `digest`.
     ///
-    /// The lookup compares digests, which tell nothing of the key, and the last comparison takes
-    /// the same time whatever differs.
+    /// The lookup compares digests, whose timing reveals nothing about the key, and the final
+    /// comparison takes constant time.
     pub(crate) fn caller(&self, digest: &str) -> Option<&list::Caller> {
-        let (known, name) = self.digests.range(digest.to_string()..).next()?;
+        let (known, name) = self.key_digests.range(digest.to_string()..).next()?;
         let is_same = bool::from(known.as_bytes().ct_eq(digest.as_bytes()));
         self.list().callers.get(name).filter(|_| is_same)
     }
@@ -200,21 +206,21 @@
         self.pools.get_mut(&(service.to_string(), role))
     }
 
-    /// Notes the load of a server in whatever pool has it.
-    pub(crate) fn hear(&mut self, server: &str, load: load::Load, now: time::Instant) {
+    /// Updates the load of a server in the pools that contain it.
+    pub(crate) fn update_load(&mut self, server: &str, load: load::Load, now: time::Instant) {
         for pool in self.pools.values_mut() {
             pool.update_load(server, load, now);
         }
     }
 
-    /// Home of an idempotency key.
-    pub(crate) fn home(&self, service: &str, key: ids::KeyHash) -> Option<ids::ServerName> {
+    /// Owner of an idempotency key.
+    pub(crate) fn owner(&self, service: &str, key: ids::KeyHash) -> Option<ids::ServerName> {
         self.members.get(service)?.owner(key).cloned()
     }
 
     /// Fair shares of the callers of a service.
     pub(crate) fn fair(&mut self, service: &str) -> &mut fair::Fair {
-        self.fairs.entry(service.to_string()).or_default()
+        self.fair_shares.entry(service.to_string()).or_default()
     }
 
     /// Pace of the prefill engines of a service.
@@ -232,8 +238,8 @@
         self.instances.get(server).map(|instance| instance.address)
     }
 
-    /// Number of followed servers that take work.
-    pub(crate) fn usable(&self, now: time::Instant) -> usize {
+    /// Number of followed servers that accept requests.
+    pub(crate) fn usable_count(&self, now: time::Instant) -> usize {
         self.pools.values().map(|pool| pool.usable_count(now)).sum()
     }
 
@@ -243,7 +249,7 @@
         names.filter_map(|name| Some((name.clone(), self.address(name)?))).collect()
     }
 
-    /// Servers that the platform says are leaving.
+    /// Servers that the platform reports as leaving.
     pub(crate) fn leaving(&self) -> collections::BTreeSet<ids::ServerName> {
         let leaving = self.instances.values().filter(|instance| {
             instance.kind == instances::Kind::Server && instance.state == instances::State::Leaving
@@ -251,14 +257,16 @@
         leaving.map(|instance| instance.name.clone()).collect()
     }
 
-    /// Servers of the services all of whose dependencies serve.
+    /// Servers of the services whose dependencies are all ready.
     pub(crate) fn depends_ready(&self) -> collections::BTreeSet<ids::ServerName> {
         let services = self.list().services.values();
-        let ready = services.filter(|service| service.depends.iter().all(|name| self.serves(name)));
+        let ready =
+            services.filter(|service| service.depends.iter().all(|name| self.is_ready(name)));
         ready.flat_map(|service| service.all_servers()).cloned().collect()
     }
 
-    fn serves(&self, service: &str) -> bool {
+    // Whether in each non-empty pool of the service at least one followed server has slots.
+    fn is_ready(&self, service: &str) -> bool {
         let pools = self.pools.iter().filter(|((name, _), _)| name == service);
         let mut pools = pools.filter(|(_, pool)| pool.names().next().is_some());
         pools.all(|(_, pool)| {
@@ -267,7 +275,7 @@
     }
 
     /// Number of live entries, this one included.
-    pub(crate) fn entries(&self) -> u32 {
+    pub(crate) fn entry_count(&self) -> u32 {
         let is_entry = |instance: &&instances::Instance| {
             instance.kind == instances::Kind::Entry && instance.state == instances::State::Live
         };
