--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -127,7 +127,7 @@
         let Some(server) =
             placing::choose(&self.ticket, list::Role::Decode, self.flow.tried(), None)
         else {
-            self.ticket.entry.directory.want();
+            self.ticket.entry.directory.request_refresh();
             return self.unreachable(None, keyed);
         };
         let Some(peer) = self.ticket.entry.peers.get(&server) else {
--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -139,7 +139,7 @@
         self.is_awaited = false;
         self.reachability.send_modify(|reachability| reachability.agent = Some(agent));
         self.directory.view().update_load(&self.server, pong.load, reported_at);
-        self.directory.note_version(pong.version);
+        self.directory.check_version(pong.version);
     }
 
     async fn resume_all(&mut self, connection: &mut connector::Connection) {
@@ -268,12 +268,12 @@
                 }
                 true
             }
-            message::ToEntry::WantList(version) => match self.directory.copy(version) {
+            message::ToEntry::WantList(version) => match self.directory.copy_since(version) {
                 Some(copy) => connection.send(&message::ToAgent::List(copy)).await,
                 None => true,
             },
             message::ToEntry::List(copy) => {
-                self.directory.take_copy(&copy);
+                self.directory.apply_copy(&copy);
                 true
             }
         }
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -1,4 +1,4 @@
-//! Who serves what: the service list in force and the servers that are known.
+//! The entry's view, shared by its tasks, and the exchange of service lists with agents.
 
 use std::sync;
 
@@ -11,41 +11,41 @@
 
 use crate::view;
 
-/// Chance with which an entry sends the list to an agent that is behind: of all that follow it a
-/// few are enough.
-const PUSH_CHANCE: f64 = 0.3;
+/// Probability with which an entry sends the list to an agent with an older version. Several
+/// entries follow the agent, and a few copies are enough.
+const PUSH_PROBABILITY: f64 = 0.3;
 
-/// What an entry knows, shared by its requests and its connections.
+/// View of the entry, shared by its requests and its connections.
 #[derive(Debug)]
 pub(crate) struct Directory {
     view: sync::Mutex<view::View>,
     version: gauge::Gauge,
-    wanted: lock::Notify,
+    refresh: lock::Notify,
 }
 
 impl Directory {
-    /// Makes a directory that shows its list's version in `version`.
+    /// Creates a directory that sets `version` to the version of its list.
     pub(crate) fn new(view: view::View, version: gauge::Gauge) -> Directory {
-        Directory { view: sync::Mutex::new(view), version, wanted: lock::Notify::new() }
+        Directory { view: sync::Mutex::new(view), version, refresh: lock::Notify::new() }
     }
 
     pub(crate) fn view(&self) -> sync::MutexGuard<'_, view::View> {
         locks::lock(&self.view)
     }
 
-    /// Asks for the lists to be read soon.
-    pub(crate) fn want(&self) {
-        self.wanted.notify_one();
+    /// Requests that the lists are read soon.
+    pub(crate) fn request_refresh(&self) {
+        self.refresh.notify_one();
     }
 
-    /// Waits until [`Directory::want`] is called.
-    pub(crate) async fn wanted(&self) {
-        self.wanted.notified().await;
+    /// Waits for a call of [`Directory::request_refresh`].
+    pub(crate) async fn refresh_requested(&self) {
+        self.refresh.notified().await;
     }
 
-    /// Takes news; tells whether a newer list is in force now.
-    pub(crate) fn take(&self, news: &service_list::ListUpdate) -> bool {
-        let is_new = self.view().apply_update(news, clock::now());
+    /// Applies an update of the service list; returns whether a newer list is in force.
+    pub(crate) fn apply_update(&self, update: &service_list::ListUpdate) -> bool {
+        let is_new = self.view().apply_update(update, clock::now());
         if is_new {
             let version = self.view().version();
             self.version.set(version as i64);
@@ -54,39 +54,39 @@
         is_new
     }
 
-    /// Takes a list from an agent.
-    pub(crate) fn take_copy(&self, copy: &message::ListCopy) {
-        for news in service_list::from_list_copy(copy) {
-            self.take(&news);
+    /// Applies the service list of an agent, and its instance list if the entry has none.
+    pub(crate) fn apply_copy(&self, copy: &message::ListCopy) {
+        for update in service_list::from_list_copy(copy) {
+            self.apply_update(&update);
         }
         let mut view = self.view();
         if view.has_instances {
             return;
         }
         match serde_json::from_str::<Vec<instances::Instance>>(&copy.instances) {
-            Ok(seen) if !seen.is_empty() => view.update_instances(seen, clock::now()),
+            Ok(listed) if !listed.is_empty() => view.update_instances(listed, clock::now()),
             Ok(_) => {}
-            Err(err) => tracing::warn!("entry: an agent's instance list is not readable: {err}"),
+            Err(err) => tracing::warn!("entry: cannot parse the instance list of an agent: {err}"),
         }
     }
 
-    /// What an agent with `version` lacks of the list in force.
-    pub(crate) fn copy(&self, version: ids::ListVersion) -> Option<message::ListCopy> {
+    /// Update for an agent that has `version`; `None` if it is up to date.
+    pub(crate) fn copy_since(&self, version: ids::ListVersion) -> Option<message::ListCopy> {
         let view = self.view();
         let update = view.update_from(version)?;
-        let seen: Vec<_> = view.instances.values().collect();
-        Some(service_list::to_list_copy(update, serde_json::json!(seen).to_string()))
+        let listed: Vec<_> = view.instances.values().collect();
+        Some(service_list::to_list_copy(update, serde_json::json!(listed).to_string()))
     }
 
-    /// Whether an agent that is behind is to be sent the list by this entry.
-    pub(crate) fn is_to_push(&self, version: ids::ListVersion) -> bool {
-        version < self.view().version() && rand::random::<f64>() < PUSH_CHANCE
+    /// Whether this entry sends the list to an agent that has `version`.
+    pub(crate) fn should_push(&self, version: ids::ListVersion) -> bool {
+        version < self.view().version() && rand::random::<f64>() < PUSH_PROBABILITY
     }
 
-    /// Notes the version that an agent has; a newer one is fetched at once.
-    pub(crate) fn note_version(&self, version: ids::ListVersion) {
+    /// Requests a refresh if an agent has a newer version.
+    pub(crate) fn check_version(&self, version: ids::ListVersion) {
         if version > self.view().version() {
-            self.want();
+            self.request_refresh();
         }
     }
 }
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -75,8 +75,8 @@
         }
         *last = report.seq;
         entry.directory.view().update_load(&report.server, report.load, clock::now());
-        entry.directory.note_version(report.version);
-        if entry.directory.is_to_push(report.version) {
+        entry.directory.check_version(report.version);
+        if entry.directory.should_push(report.version) {
             tokio::spawn(lists::push(entry.clone(), report.server, report.version));
         }
     }
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -36,7 +36,7 @@
         let period = if is_complete { clock::jitter(POLL) } else { HURRY };
         tokio::select! {
             () = tokio::time::sleep(period) => {}
-            () = entry.directory.wanted() => tokio::time::sleep(clock::jitter(HURRY)).await,
+            () = entry.directory.refresh_requested() => tokio::time::sleep(clock::jitter(HURRY)).await,
         }
     }
 }
@@ -46,7 +46,7 @@
     loop {
         let version = entry.directory.view().version();
         match service_list::read_update(&entry.table, version).await {
-            Ok(news) if entry.directory.take(&news) => {}
+            Ok(news) if entry.directory.apply_update(&news) => {}
             Ok(service_list::ListUpdate::Change(_, _)) => return take_whole(entry).await,
             Ok(_) => return true,
             Err(err) => {
@@ -61,7 +61,7 @@
 async fn take_whole(entry: &Shared) -> bool {
     match service_list::read_update(&entry.table, 0).await {
         Ok(news) => {
-            entry.directory.take(&news);
+            entry.directory.apply_update(&news);
             true
         }
         Err(_) => false,
@@ -81,7 +81,7 @@
     if followed.is_empty() {
         for seed in &entry.settings.seeds {
             if let Some(copy) = entry.peers.fetch_list(*seed).await {
-                entry.directory.take_copy(&copy);
+                entry.directory.apply_copy(&copy);
                 return;
             }
         }
@@ -92,7 +92,7 @@
 pub(crate) async fn push(entry: Shared, server: ids::ServerName, version: ids::ListVersion) {
     let Some(peer) = entry.peers.get(&server) else { return };
     if peer.connect().await.is_some()
-        && let Some(copy) = entry.directory.copy(version)
+        && let Some(copy) = entry.directory.copy_since(version)
     {
         peer.send(message::ToAgent::List(copy));
     }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -85,7 +85,7 @@
         let Some(server) =
             placing::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
         else {
-            self.ticket.entry.directory.want();
+            self.ticket.entry.directory.request_refresh();
             return self.failed(None, unreachable);
         };
         let event = self.attempt_at(&server, unreachable).await;
