--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -1,4 +1,4 @@
-//! Follows the service list and the instance list.
+//! Polls the service list and the instance list.
 
 use std::{sync, time};
 
@@ -8,68 +8,72 @@
 
 use crate::entry;
 
-const POLL: time::Duration = time::Duration::from_secs(2);
-const HURRY: time::Duration = time::Duration::from_millis(200);
+/// Poll interval once both lists are known.
+const POLL_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// Poll interval until both lists are known, and the delay of a requested refresh.
+const FAST_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 type Shared = sync::Arc<entry::Entry>;
 
 /// Polls until the task is dropped.
-pub(crate) async fn follow(entry: Shared) {
+pub(crate) async fn run(entry: Shared) {
     let instances =
         instances::Instances::new(entry.client.clone(), &entry.settings.platform.instances);
     loop {
-        let (list_read, instances_read) = tokio::join!(poll(&entry), instances.read());
+        let (list_read, instances_read) = tokio::join!(read_list(&entry), instances.read());
         match instances_read {
-            Ok(seen) => {
-                entry.directory.view().update_instances(seen, clock::now());
+            Ok(listed) => {
+                entry.directory.view().update_instances(listed, clock::now());
                 entry.peers.drop_unlisted();
             }
-            Err(err) => tracing::debug!("entry: instance list not read: {err}"),
+            Err(err) => tracing::debug!("entry: cannot read the instance list: {err}"),
         }
         if !list_read {
-            ask_peers(&entry).await;
+            request_from_agents(&entry).await;
         }
         let is_complete = {
             let view = entry.directory.view();
             view.version() > 0 && view.has_instances
         };
-        let period = if is_complete { clock::jitter(POLL) } else { HURRY };
+        let interval = if is_complete { clock::jitter(POLL_INTERVAL) } else { FAST_INTERVAL };
         tokio::select! {
-            () = tokio::time::sleep(period) => {}
-            () = entry.directory.refresh_requested() => tokio::time::sleep(clock::jitter(HURRY)).await,
+            () = tokio::time::sleep(interval) => {}
+            () = entry.directory.refresh_requested() => {
+                tokio::time::sleep(clock::jitter(FAST_INTERVAL)).await;
+            }
         }
     }
 }
 
-// Reads changes one by one until nothing is newer; false while the table is away.
-async fn poll(entry: &Shared) -> bool {
+// Reads changes one by one until none is newer; false if the table is unavailable.
+async fn read_list(entry: &Shared) -> bool {
     loop {
         let version = entry.directory.view().version();
         match service_list::read_update(&entry.table, version).await {
-            Ok(news) if entry.directory.apply_update(&news) => {}
-            Ok(service_list::ListUpdate::Change(_, _)) => return take_whole(entry).await,
+            Ok(update) if entry.directory.apply_update(&update) => {}
+            Ok(service_list::ListUpdate::Change(_, _)) => return read_whole_list(entry).await,
             Ok(_) => return true,
             Err(err) => {
-                tracing::debug!("entry: list not read: {err}");
+                tracing::debug!("entry: cannot read the service list: {err}");
                 return false;
             }
         }
     }
 }
 
-// For a change that does not fit the edition in force.
-async fn take_whole(entry: &Shared) -> bool {
+// Used when a change does not apply to the revision in force.
+async fn read_whole_list(entry: &Shared) -> bool {
     match service_list::read_update(&entry.table, 0).await {
-        Ok(news) => {
-            entry.directory.apply_update(&news);
+        Ok(update) => {
+            entry.directory.apply_update(&update);
             true
         }
         Err(_) => false,
     }
 }
 
-// While the platform is away, agents pass the list on.
-async fn ask_peers(entry: &Shared) {
+// Agents send their list while the table is unavailable.
+async fn request_from_agents(entry: &Shared) {
     let followed = entry.directory.view().followed();
     for (server, _) in followed.iter().take(1) {
         if let Some(peer) = entry.peers.get(server)
@@ -88,7 +92,7 @@
     }
 }
 
-/// Sends the list to the agent of `server`, which cannot read the table itself.
+/// Sends the service list to the agent of `server`, which may be unable to read the table.
 pub(crate) async fn push(entry: Shared, server: ids::ServerName, version: ids::ListVersion) {
     let Some(peer) = entry.peers.get(&server) else { return };
     if peer.connect().await.is_some()
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -22,7 +22,7 @@
     let limits = server::Limits { connections: settings.connections, ..server::Limits::default() };
     let entry = sync::Arc::new(entry::Entry::new(settings));
     tracing::info!("entry: started as {}", entry.settings.name);
-    tokio::spawn(lists::follow(entry.clone()));
+    tokio::spawn(lists::run(entry.clone()));
     tokio::spawn(heartbeats::run(entry.clone(), udp));
     let flushing = tokio::spawn(ledger::run(entry.clone()));
     let shared = entry.clone();
