--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -11,20 +11,20 @@
 pub mod settings;
 
 mod admit;
-mod backend;
 mod channel;
 mod completion;
-mod dial;
+mod connection_manager;
+mod connector;
 mod directory;
 mod entry;
-mod follow;
+mod heartbeats;
 mod ingress;
-mod keeper;
 mod ledger;
-mod link;
+mod lifecycle;
 mod lists;
 mod openai;
 mod peer;
+mod peers;
 mod placing;
 mod plain;
 mod refuse;
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -85,7 +85,7 @@
         let Some(server) =
             placing::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
         else {
-            self.ticket.entry.directory.want();
+            self.ticket.entry.directory.request_refresh();
             return self.failed(None, unreachable);
         };
         let event = self.attempt_at(&server, unreachable).await;
@@ -99,13 +99,13 @@
     }
 
     async fn attempt_at(&mut self, server: &ids::ServerName, unreachable: Refusal) -> flow::Event {
-        let Some(peer) = self.ticket.entry.backend.peer(server) else {
+        let Some(peer) = self.ticket.entry.peers.get(server) else {
             return self.failed(Some(server.clone()), unreachable);
         };
-        let Some(contact) = peer.contact().await else {
+        let Some(contact) = peer.connect().await else {
             return self.failed(Some(server.clone()), unreachable);
         };
-        let run = self.ticket.entry.backend.next_run();
+        let run = self.ticket.entry.peers.next_run_id();
         let order = message::ToAgent::Offer(offer::Offer {
             run,
             key: self.ticket.key.as_ref().map(|key| key.hash),
