--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
-    pub(crate) rooms: slots::Slots,
+    pub(crate) slots: slots::Slots,
     pub(crate) pace: pace::Pace,
     pub(crate) editions: revisions::Revisions,
     pub(crate) gone: collections::BTreeSet<ids::ServerName>,
@@ -103,7 +103,7 @@
         };
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
-            rooms: slots::Slots::new(0, settings.queue, RESERVATION),
+            slots: slots::Slots::new(0, settings.queue, RESERVATION),
             pace: pace::Pace::default(),
             editions: revisions::Revisions::default(),
             gone: collections::BTreeSet::new(),
@@ -165,7 +165,7 @@
 impl State {
     /// Load to report.
     pub(crate) fn load(&self) -> load::Load {
-        load::Load { leaving: self.gate.is_leaving(), ..self.rooms.load(clock::now()) }
+        load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
 
     /// Service and role of `server`.
--- a/crates/agent/src/converge.rs
+++ b/crates/agent/src/converge.rs
@@ -89,20 +89,20 @@
             return false;
         }
     }
-    let rooms = match task.role {
-        list::Role::Decode => read_rooms(agent).await,
+    let slots = match task.role {
+        list::Role::Decode => read_slots(agent).await,
         _ => Some(agent.settings.prefills),
     };
-    let Some(rooms) = rooms else { return false };
+    let Some(slots) = slots else { return false };
     let mut state = agent.lock();
-    state.rooms.set_capacity(rooms);
+    state.slots.set_capacity(slots);
     state.running = Some(wanted.clone());
     state.loaded = true;
     tracing::info!("agent: engine runs {} version {}", wanted.weights, wanted.version);
     true
 }
 
-async fn read_rooms(agent: &agent::Agent) -> Option<u32> {
+async fn read_slots(agent: &agent::Agent) -> Option<u32> {
     let url = format!("{}/load", agent.settings.engine);
     let reply = agent.client.get(&url, ENGINE_LIMIT).await.ok()?;
     let load: serde_json::Value = serde_json::from_slice(&reply.body).ok()?;
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -8,21 +8,21 @@
 /// Frames on their way to an entry.
 pub(crate) type Sender = mpsc::Sender<message::ToEntry>;
 
-/// A job that waits for a room.
+/// A job that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) job: Job,
     pub(crate) sender: Sender,
 }
 
-/// What to do once there is room.
+/// What to do once a slot is granted.
 #[derive(Debug)]
 pub(crate) enum Job {
     /// Run a plain call.
     Plain(offer::Offer),
     /// Prefill a prompt.
     Prefill(message::Prefill),
-    /// Hold the room for a decode.
+    /// Reserve the slot for a decode.
     Reserve(message::Reserve),
 }
 
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Takes orders through the gate and the queue for rooms to their runs.
+//! Takes orders through the gate and the queue for slots to their runs.
 
 use std::{sync, time};
 
@@ -19,7 +19,7 @@
     let mut state = agent.lock();
     let admission = admit(agent, &mut state, &job);
     if matches!(admission, Admission::Wait) {
-        // Under the same lock, so that a room that gets free finds the job.
+        // Under the same lock, so that a slot that is freed meanwhile is granted to the job.
         state.waiting.insert(run, Waiting { job, sender: sender.clone() });
         return;
     }
@@ -66,7 +66,7 @@
         state.gate.withdraw(offer.run, now);
         return Admission::Refuse(Refusal::not_run(Reason::RecordsFull, RETRY_SOON));
     }
-    match ask_room(agent, state, job, offer.start_by) {
+    match request_slot(agent, state, job, offer.start_by) {
         slots::Answer::Granted => Admission::Go,
         slots::Answer::Queued => Admission::Wait,
         slots::Answer::Refused(refusal) => {
@@ -76,7 +76,7 @@
     }
 }
 
-fn ask_room(
+fn request_slot(
     agent: &Shared,
     state: &mut agent::State,
     job: &Job,
@@ -98,9 +98,9 @@
         }
     };
     if excess {
-        state.rooms.request_spare(job.run(), work, now)
+        state.slots.request_spare(job.run(), work, now)
     } else {
-        state.rooms.request_work(job.run(), work, wait_by, now)
+        state.slots.request_work(job.run(), work, wait_by, now)
     }
 }
 
@@ -153,7 +153,7 @@
 /// Starts the decode of a reserved run.
 pub(crate) fn start_decode(agent: &Shared, order: message::Decode, sender: &Sender) {
     let run = order.run;
-    if !agent.lock().rooms.claim(run) {
+    if !agent.lock().slots.claim(run) {
         let refusal = Refusal::not_run(Reason::TooLate, RETRY_SOON);
         agent.lock().gate.withdraw(run, clock::now());
         return refuse(agent, run, refusal, sender);
@@ -220,7 +220,7 @@
         return follow(output, resume.run, resume.offset, sender);
     }
     let settled = state.gate.withdraw(resume.run, now);
-    state.rooms.release(resume.run, now);
+    state.slots.release(resume.run, now);
     state.waiting.remove(&resume.run);
     drop(state);
     let refusal = match settled {
@@ -237,7 +237,7 @@
     let mut state = agent.lock();
     state.waiting.remove(&run);
     match state.gate.withdraw(run, now) {
-        gate::Withdrawal::NotRun => state.rooms.release(run, now),
+        gate::Withdrawal::NotRun => state.slots.release(run, now),
         gate::Withdrawal::Ended => {}
         gate::Withdrawal::Running if !state.gate.is_cancellable(run) => {}
         gate::Withdrawal::Running => {
@@ -256,7 +256,7 @@
     let mut state = agent.lock();
     state.waiting.remove(&run);
     if state.gate.withdraw(run, now) == gate::Withdrawal::NotRun {
-        state.rooms.release(run, now);
+        state.slots.release(run, now);
         return;
     }
     drop(state);
@@ -272,12 +272,12 @@
     engine::cancel(agent, run);
 }
 
-/// Notes the end of a run, frees its room and gives it to the next.
+/// Notes the end of a run, frees its slot and grants it to the next job.
 pub(crate) fn finish(agent: &Shared, run: ids::RunId, result: Result<(), Refusal>) {
     let now = clock::now();
     let mut state = agent.lock();
     state.tasks.remove(&run);
-    state.rooms.release(run, now);
+    state.slots.release(run, now);
     let output = state.outputs.get(&run).cloned();
     match result {
         Ok(()) => {
@@ -305,16 +305,16 @@
     grant(agent);
 }
 
-/// Gives free rooms to waiting jobs.
+/// Grants free slots to waiting jobs.
 pub(crate) fn grant(agent: &Shared) {
     loop {
         let mut state = agent.lock();
-        let Some(run) = state.rooms.next_grant(clock::now()) else { return };
+        let Some(run) = state.slots.next_grant(clock::now()) else { return };
         let waiting = state.waiting.remove(&run);
         drop(state);
         match waiting {
             Some(Waiting { job, sender }) => execute(agent, job, &sender),
-            None => agent.lock().rooms.release(run, clock::now()),
+            None => agent.lock().slots.release(run, clock::now()),
         }
     }
 }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -73,7 +73,7 @@
     true
 }
 
-// Brings gate and rooms to what the list says.
+// Brings gate and slots to what the list says.
 fn enforce(agent: &agent::Agent, state: &mut agent::State) {
     let now = clock::now();
     let unix = clock::unix_ms();
@@ -95,7 +95,7 @@
     let gone = state.gone.clone();
     state.gate.observe(service.servers(), |name| gone.contains(name), now);
     if let list::Kind::Plain(plain) = &service.kind {
-        state.rooms.set_capacity(plain.slots);
+        state.slots.set_capacity(plain.slots);
         state.loaded = true;
     }
 }
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -29,7 +29,7 @@
     })?;
     {
         let mut state = agent.lock();
-        state.rooms.claim(offer.run);
+        state.slots.claim(offer.run);
         state.gate.start(offer.run, clock::now())?;
     }
     agent.metrics.runs.inc();
--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -28,7 +28,7 @@
 ) -> Result<message::Prefilled, Refusal> {
     {
         let mut state = agent.lock();
-        state.rooms.claim(order.run);
+        state.slots.claim(order.run);
         state.gate.start(order.run, clock::now())?;
     }
     agent.metrics.runs.inc();
@@ -54,7 +54,7 @@
 // Prompts that an engine works on at the same time share its speed.
 fn learn(agent: &agent::Agent, size: u32, took: time::Duration) -> time::Duration {
     let mut state = agent.lock();
-    let sharing = state.rooms.load(clock::now()).held.max(1);
+    let sharing = state.slots.load(clock::now()).held.max(1);
     let work = took / sharing;
     state.pace.learn(size, work);
     work
--- a/crates/agent/src/sweep.rs
+++ b/crates/agent/src/sweep.rs
@@ -22,7 +22,7 @@
     let now = clock::now();
     agent.lock().gate.tick(now);
     loop {
-        let expired = agent.lock().rooms.next_expired(now);
+        let expired = agent.lock().slots.next_expired(now);
         let Some((run, refusal)) = expired else { break };
         jobs::expire(agent, run, refusal);
     }
@@ -39,6 +39,6 @@
     }
     jobs::grant(agent);
     let state = agent.lock();
-    agent.metrics.held.set(i64::from(state.rooms.load(now).held));
+    agent.metrics.held.set(i64::from(state.slots.load(now).held));
     agent.metrics.keys.set(state.gate.key_count() as i64);
 }
