--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -32,7 +32,7 @@
     pub(crate) gate: gate::Gate,
     pub(crate) slots: slots::Slots,
     pub(crate) pace: pace::Pace,
-    pub(crate) editions: revisions::Revisions,
+    pub(crate) revisions: revisions::Revisions,
     pub(crate) gone: collections::BTreeSet<ids::ServerName>,
     pub(crate) instances: Vec<instances::Instance>,
     pub(crate) known: bool,
@@ -105,7 +105,7 @@
             gate: gate::Gate::new(settings.server.clone(), limits, now),
             slots: slots::Slots::new(0, settings.queue, RESERVATION),
             pace: pace::Pace::default(),
-            editions: revisions::Revisions::default(),
+            revisions: revisions::Revisions::default(),
             gone: collections::BTreeSet::new(),
             instances: Vec::new(),
             known: false,
@@ -151,7 +151,7 @@
         message::Pong {
             seq,
             clock_ms: clock::now().saturating_duration_since(self.started).as_millis() as u64,
-            version: state.editions.version(),
+            version: state.revisions.version(),
             load: state.load(),
         }
     }
@@ -170,7 +170,7 @@
 
     /// Service and role of `server`.
     pub(crate) fn duty(&self, server: &str) -> Option<(&list::Service, list::Role)> {
-        self.editions.current().list.find_server(server)
+        self.revisions.current().list.find_server(server)
     }
 
     /// Trusts the memory of the first process of a server that was listed lately.
@@ -179,7 +179,7 @@
     /// waited for the window after the server was listed; so later absence tells nothing.
     pub(crate) fn trust_first(&mut self, server: &str) {
         let Some(service) = self.service(server).filter(|_| self.first) else { return };
-        let listed = self.editions.current().listed_ago(server, clock::unix_ms());
+        let listed = self.revisions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
             self.gate.mark_history_complete();
             self.first = false;
@@ -189,7 +189,7 @@
 
     /// Service of `server`.
     pub(crate) fn service(&self, server: &str) -> Option<sync::Arc<list::Service>> {
-        let list = &self.editions.current().list;
+        let list = &self.revisions.current().list;
         list.services.values().find(|service| service.role(server).is_some()).cloned()
     }
 
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -47,7 +47,7 @@
     let load = state.load();
     json!({
         "server": agent.settings.server,
-        "version": state.editions.version(),
+        "version": state.revisions.version(),
         "fence": state.fence,
         "loaded": state.loaded,
         "registered": state.registered,
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -202,7 +202,7 @@
             let wants = lists::is_behind(agent, ping.version);
             let _ = sender.send(message::ToEntry::Pong(pong)).await;
             if wants {
-                let version = agent.lock().editions.version();
+                let version = agent.lock().revisions.version();
                 let _ = sender.send(message::ToEntry::WantList(version)).await;
             }
         }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -18,13 +18,13 @@
 
 /// Whether a peer has a newer list.
 pub(crate) fn is_behind(agent: &agent::Agent, version: ids::ListVersion) -> bool {
-    agent.lock().editions.version() < version
+    agent.lock().revisions.version() < version
 }
 
 /// Asks one entry for its list, or the table if no entry is linked.
 pub(crate) fn want(agent: &agent::Agent) {
     let state = agent.lock();
-    let version = state.editions.version();
+    let version = state.revisions.version();
     let count = state.links.len().max(1);
     let link = state.links.values().nth(rand::random::<u64>() as usize % count);
     let asked = link.is_some_and(|link| link.try_send(message::ToEntry::WantList(version)).is_ok());
@@ -45,7 +45,7 @@
 /// What a peer with `version` lacks of the list in force.
 pub(crate) fn copy(agent: &agent::Agent, version: ids::ListVersion) -> Option<message::ListCopy> {
     let state = agent.lock();
-    let update = state.editions.update_from(version)?;
+    let update = state.revisions.update_from(version)?;
     Some(service_list::to_list_copy(update, serde_json::json!(state.instances).to_string()))
 }
 
@@ -61,10 +61,10 @@
 /// Takes news; tells whether a newer list is in force now.
 fn take(agent: &agent::Agent, news: &service_list::ListUpdate) -> bool {
     let mut state = agent.lock();
-    if service_list::apply_update(&mut state.editions, news).is_none() {
+    if service_list::apply_update(&mut state.revisions, news).is_none() {
         return false;
     }
-    let version = state.editions.version();
+    let version = state.revisions.version();
     state.known = true;
     enforce(agent, &mut state);
     drop(state);
@@ -79,10 +79,10 @@
     let unix = clock::unix_ms();
     let server = &agent.settings.server;
     let Some(service) = state.service(server) else { return };
-    let edition = state.editions.current();
-    let joined = edition.joined_ago(&service.name, server, unix);
+    let revision = state.revisions.current();
+    let joined = revision.joined_ago(&service.name, server, unix);
     let removed: Vec<_> =
-        edition.removed.iter().filter(|gone| gone.service == service.name).cloned().collect();
+        revision.removed.iter().filter(|gone| gone.service == service.name).cloned().collect();
     state.gate.set_window(service.window);
     state.trust_first(server);
     if let Some(ago) = joined {
@@ -128,7 +128,7 @@
 
 async fn poll(agent: &agent::Agent) {
     loop {
-        let version = agent.lock().editions.version();
+        let version = agent.lock().revisions.version();
         let news = match service_list::read_update(&agent.table, version).await {
             Ok(news) => news,
             Err(err) => return tracing::debug!("agent: list not read: {err}"),
@@ -136,7 +136,7 @@
         if take(agent, &news) {
             continue;
         }
-        // A change that does not fit the edition in force: the whole list replaces it.
+        // A change that does not fit the current revision: the whole list replaces it.
         if matches!(news, service_list::ListUpdate::Change(_, _))
             && let Ok(whole) = service_list::read_update(&agent.table, 0).await
         {
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -76,10 +76,10 @@
     }
     // The trust is in this server's own past; having joined lately still holds keys back.
     let server = &agent.settings.server;
-    let edition = state.editions.current();
+    let revision = state.revisions.current();
     let joined = state
         .service(server)
-        .and_then(|service| edition.joined_ago(&service.name, server, clock::unix_ms()));
+        .and_then(|service| revision.joined_ago(&service.name, server, clock::unix_ms()));
     if let Some(ago) = joined {
         state.gate.record_join(ago, clock::now());
     }
