--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -48,8 +48,8 @@
     pub(crate) fence: u64,
     /// Whether the table knows of this process.
     pub(crate) registered: bool,
-    /// Whether the table knew of no process of this server before.
-    pub(crate) first: bool,
+    /// Whether the table had no row for this server before: no earlier process registered.
+    pub(crate) first_process: bool,
     pub(crate) outputs: collections::BTreeMap<ids::RunId, sync::Arc<output::Output>>,
     /// Bytes of the answers to idempotency keys in `outputs`.
     pub(crate) kept_bytes: usize,
@@ -115,7 +115,7 @@
             swept: false,
             fence: 0,
             registered: false,
-            first: false,
+            first_process: false,
             outputs: collections::BTreeMap::new(),
             kept_bytes: 0,
             waiting: collections::BTreeMap::new(),
@@ -168,22 +168,23 @@
         load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
 
-    /// Service and role of `server`.
-    pub(crate) fn duty(&self, server: &str) -> Option<(&list::Service, list::Role)> {
+    /// Service and role of `server` in the current list.
+    pub(crate) fn assignment(&self, server: &str) -> Option<(&list::Service, list::Role)> {
         self.revisions.current().list.find_server(server)
     }
 
-    /// Trusts the memory of the first process of a server that was listed lately.
+    /// Marks the key history as complete in the first process of a recently listed server.
     ///
-    /// A process that started while the table was down is not in it, and may run keys once it has
-    /// waited for the window after the server was listed; so later absence tells nothing.
-    pub(crate) fn trust_first(&mut self, server: &str) {
-        let Some(service) = self.service(server).filter(|_| self.first) else { return };
+    /// A process that starts while the table is unavailable is not registered, but may run keys
+    /// once it has waited for the window after the listing of its server. A missing row is
+    /// therefore no proof for long: it counts for half the window after the listing.
+    pub(crate) fn mark_first_complete(&mut self, server: &str) {
+        let Some(service) = self.service(server).filter(|_| self.first_process) else { return };
         let listed = self.revisions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
             self.gate.mark_history_complete();
-            self.first = false;
-            tracing::info!("agent: first process of its server; unknown keys do not wait");
+            self.first_process = false;
+            tracing::info!("agent: first process of its server; its key history is complete");
         }
     }
 
--- a/crates/agent/src/converge.rs
+++ b/crates/agent/src/converge.rs
@@ -42,7 +42,7 @@
 
 fn next_task(agent: &agent::Agent) -> Option<Task> {
     let state = agent.lock();
-    let (service, role) = state.duty(&agent.settings.server)?;
+    let (service, role) = state.assignment(&agent.settings.server)?;
     let list::Kind::Model(model) = &service.kind else { return None };
     let wanted = loaded::Loaded {
         weights: model.weights.clone(),
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -22,7 +22,7 @@
 ///
 /// Plain servers take no such order; closing the connection is all that they are told.
 pub(crate) fn cancel(agent: &sync::Arc<agent::Agent>, run: ids::RunId) {
-    let role = agent.lock().duty(&agent.settings.server).map(|(_, role)| role);
+    let role = agent.lock().assignment(&agent.settings.server).map(|(_, role)| role);
     if role == Some(list::Role::Plain) {
         return;
     }
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -53,7 +53,7 @@
 fn admit(agent: &Shared, state: &mut agent::State, job: &Job) -> Admission {
     let now = clock::now();
     let offer = write_offer(agent, job);
-    if let Some(refusal) = check_duty(agent, state, job, offer.key.is_some()) {
+    if let Some(refusal) = check_available(agent, state, job, offer.key.is_some()) {
         return Admission::Refuse(refusal);
     }
     match state.gate.offer(offer, now) {
@@ -104,17 +104,23 @@
     }
 }
 
-// Keys at servers that check fencing numbers need one, which the table gives.
-fn check_duty(agent: &Shared, state: &agent::State, job: &Job, keyed: bool) -> Option<Refusal> {
-    let duty = state.duty(&agent.settings.server);
-    if duty.is_none_or(|(_, role)| role != job.role()) {
+// Refuses a job that this server cannot run now. A request with a key to a server that checks
+// fencing numbers needs the number that registration in the table returns.
+fn check_available(
+    agent: &Shared,
+    state: &agent::State,
+    job: &Job,
+    keyed: bool,
+) -> Option<Refusal> {
+    let assignment = state.assignment(&agent.settings.server);
+    if assignment.is_none_or(|(_, role)| role != job.role()) {
         let reason = if state.known { Reason::NoServer } else { Reason::NoList };
         return Some(refuse_early(reason, keyed));
     }
     if !state.loaded {
         return Some(refuse_early(Reason::NotLoaded, keyed));
     }
-    let is_fenced = duty.is_some_and(|(service, _)| service.fenced);
+    let is_fenced = assignment.is_some_and(|(service, _)| service.fenced);
     let lacks_fence = keyed && is_fenced && !state.registered;
     lacks_fence.then(|| Refusal::unknown(Reason::KeyUncertain, RETRY_SOON))
 }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -84,7 +84,7 @@
     let removed: Vec<_> =
         revision.removed.iter().filter(|gone| gone.service == service.name).cloned().collect();
     state.gate.set_window(service.window);
-    state.trust_first(server);
+    state.mark_first_complete(server);
     if let Some(ago) = joined {
         state.gate.record_join(ago, now);
     }
@@ -150,7 +150,7 @@
     let live: collections::BTreeSet<_> = seen.iter().map(|instance| &instance.name).collect();
     let mut state = agent.lock();
     state.instances = seen.to_vec();
-    let listed: Vec<_> = match state.duty(&agent.settings.server) {
+    let listed: Vec<_> = match state.assignment(&agent.settings.server) {
         Some((service, _)) => service.servers().to_vec(),
         None => return,
     };
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -57,7 +57,8 @@
         request.headers_mut().append(name, value);
     }
     let state = agent.lock();
-    let is_fenced = state.duty(&agent.settings.server).is_some_and(|(service, _)| service.fenced);
+    let is_fenced =
+        state.assignment(&agent.settings.server).is_some_and(|(service, _)| service.fenced);
     if is_fenced {
         request.headers_mut().insert(FENCE, header::HeaderValue::from(state.fence));
     }
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -69,8 +69,8 @@
     let mut state = agent.lock();
     state.fence = fence;
     state.registered = true;
-    state.first = row.is_none();
-    state.trust_first(&agent.settings.server);
+    state.first_process = row.is_none();
+    state.mark_first_complete(&agent.settings.server);
     if let Some(parcel) = parcel {
         take_over(&mut state, parcel);
     }
