--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -21,8 +21,10 @@
     pub(crate) table: table::Table,
     pub(crate) objects: objects::Objects,
     pub(crate) metrics: Counters,
-    pub(crate) list_wanted: lock::Notify,
-    pub(crate) list_taken: lock::Notify,
+    /// Notified to poll the table for a new list.
+    pub(crate) poll_requested: lock::Notify,
+    /// Notified after a new list was applied.
+    pub(crate) list_applied: lock::Notify,
     state: sync::Mutex<State>,
 }
 
@@ -33,9 +35,12 @@
     pub(crate) slots: slots::Slots,
     pub(crate) pace: pace::Pace,
     pub(crate) revisions: revisions::Revisions,
-    pub(crate) gone: collections::BTreeSet<ids::ServerName>,
+    /// Listed servers that are missing from the instance list.
+    pub(crate) gone_servers: collections::BTreeSet<ids::ServerName>,
+    /// Last instance list.
     pub(crate) instances: Vec<instances::Instance>,
-    pub(crate) known: bool,
+    /// Whether a service list has been applied.
+    pub(crate) has_list: bool,
     /// Whether the backend server can serve; it may run an older model until the new one is in.
     pub(crate) loaded: bool,
     /// What the engine runs.
@@ -106,9 +111,9 @@
             slots: slots::Slots::new(0, settings.queue, RESERVATION),
             pace: pace::Pace::default(),
             revisions: revisions::Revisions::default(),
-            gone: collections::BTreeSet::new(),
+            gone_servers: collections::BTreeSet::new(),
             instances: Vec::new(),
-            known: false,
+            has_list: false,
             loaded: false,
             running: None,
             depends_ready: false,
@@ -129,8 +134,8 @@
             objects: objects::Objects::new(client.clone(), &settings.platform.objects),
             client,
             metrics: Counters::new(),
-            list_wanted: lock::Notify::new(),
-            list_taken: lock::Notify::new(),
+            poll_requested: lock::Notify::new(),
+            list_applied: lock::Notify::new(),
             state: sync::Mutex::new(state),
             settings,
         }
--- a/crates/agent/src/beats.rs
+++ b/crates/agent/src/beats.rs
@@ -24,10 +24,10 @@
         let _ = socket.send_to(&bytes, peer).await;
         agent.lock().depends_ready |= follow.depends_ready;
         if follow.leaving {
-            lists::note_leaving(&agent);
+            lists::record_leaving(&agent);
         }
         if lists::is_behind(&agent, follow.version) {
-            lists::want(&agent);
+            lists::request_list(&agent);
         }
     }
 }
--- a/crates/agent/src/converge.rs
+++ b/crates/agent/src/converge.rs
@@ -28,7 +28,7 @@
 pub(crate) async fn run(agent: sync::Arc<agent::Agent>) {
     loop {
         let Some(task) = next_task(&agent) else {
-            agent.list_taken.notified().await;
+            agent.list_applied.notified().await;
             continue;
         };
         if task.depends {
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -114,7 +114,7 @@
 ) -> Option<Refusal> {
     let assignment = state.assignment(&agent.settings.server);
     if assignment.is_none_or(|(_, role)| role != job.role()) {
-        let reason = if state.known { Reason::NoServer } else { Reason::NoList };
+        let reason = if state.has_list { Reason::NoServer } else { Reason::NoList };
         return Some(refuse_early(reason, keyed));
     }
     if !state.loaded {
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -207,10 +207,10 @@
             }
         }
         message::ToAgent::WantList(version) => {
-            if let Some(copy) = lists::copy(agent, version) {
+            if let Some(copy) = lists::copy_for(agent, version) {
                 let _ = sender.send(message::ToEntry::List(copy)).await;
             }
         }
-        message::ToAgent::List(copy) => lists::take_copy(agent, &copy),
+        message::ToAgent::List(copy) => lists::apply_copy(agent, &copy),
     }
 }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -8,81 +8,92 @@
 
 use crate::agent;
 
-const POLL: time::Duration = time::Duration::from_secs(30);
-/// Parts of the window in which an agent that was dropped has to see it.
-const POLLS_A_WINDOW: u32 = 8;
-const FIRST_POLL: time::Duration = time::Duration::from_secs(1);
-const HURRY: time::Duration = time::Duration::from_millis(300);
+const MAX_POLL_PERIOD: time::Duration = time::Duration::from_secs(30);
+/// Polls per window; an agent whose server was removed from the list must notice within the window.
+const POLLS_PER_WINDOW: u32 = 8;
+/// Period until the list assigns this server to a service.
+const INITIAL_POLL_PERIOD: time::Duration = time::Duration::from_secs(1);
+/// Mean delay before a requested poll.
+const REQUEST_DELAY: time::Duration = time::Duration::from_millis(300);
 
 type Shared = sync::Arc<agent::Agent>;
 
-/// Whether a peer has a newer list.
+/// Whether a peer that has `version` has a newer list.
 pub(crate) fn is_behind(agent: &agent::Agent, version: ids::ListVersion) -> bool {
     agent.lock().revisions.version() < version
 }
 
-/// Asks one entry for its list, or the table if no entry is linked.
-pub(crate) fn want(agent: &agent::Agent) {
+/// Requests the list from a random connected entry, or from the table if there is none or its
+/// queue is full.
+pub(crate) fn request_list(agent: &agent::Agent) {
     let state = agent.lock();
     let version = state.revisions.version();
     let count = state.links.len().max(1);
     let link = state.links.values().nth(rand::random::<u64>() as usize % count);
-    let asked = link.is_some_and(|link| link.try_send(message::ToEntry::WantList(version)).is_ok());
-    if !asked {
-        agent.list_wanted.notify_one();
+    let requested =
+        link.is_some_and(|link| link.try_send(message::ToEntry::WantList(version)).is_ok());
+    if !requested {
+        agent.poll_requested.notify_one();
     }
 }
 
-/// Notes that the platform says that this instance is leaving.
-pub(crate) fn note_leaving(agent: &agent::Agent) {
+/// Refuses new work because the platform reports that this instance is leaving.
+pub(crate) fn record_leaving(agent: &agent::Agent) {
     let mut state = agent.lock();
     if !state.gate.is_leaving() {
         state.gate.leave();
-        tracing::info!("agent: the platform says that this instance leaves");
+        tracing::info!("agent: the platform reports that this instance is leaving");
     }
 }
 
-/// What a peer with `version` lacks of the list in force.
-pub(crate) fn copy(agent: &agent::Agent, version: ids::ListVersion) -> Option<message::ListCopy> {
+/// Updates for a peer that has `version`; `None` if it is up to date.
+pub(crate) fn copy_for(
+    agent: &agent::Agent,
+    version: ids::ListVersion,
+) -> Option<message::ListCopy> {
     let state = agent.lock();
     let update = state.revisions.update_from(version)?;
     Some(service_list::to_list_copy(update, serde_json::json!(state.instances).to_string()))
 }
 
-/// Takes a list from a peer; where its changes do not fit, the table is asked.
-pub(crate) fn take_copy(agent: &agent::Agent, copy: &message::ListCopy) {
-    for news in service_list::from_list_copy(copy) {
-        if !take(agent, &news) && is_behind(agent, copy.version) {
-            agent.list_wanted.notify_one();
+/// Applies a list from a peer; if its changes do not apply, the table is polled.
+pub(crate) fn apply_copy(agent: &agent::Agent, copy: &message::ListCopy) {
+    for update in service_list::from_list_copy(copy) {
+        if !apply(agent, &update) && is_behind(agent, copy.version) {
+            agent.poll_requested.notify_one();
         }
     }
 }
 
-/// Takes news; tells whether a newer list is in force now.
-fn take(agent: &agent::Agent, news: &service_list::ListUpdate) -> bool {
+/// Applies an update; returns whether the current list changed.
+fn apply(agent: &agent::Agent, update: &service_list::ListUpdate) -> bool {
     let mut state = agent.lock();
-    if service_list::apply_update(&mut state.revisions, news).is_none() {
+    if service_list::apply_update(&mut state.revisions, update).is_none() {
         return false;
     }
     let version = state.revisions.version();
-    state.known = true;
-    enforce(agent, &mut state);
+    state.has_list = true;
+    apply_service(agent, &mut state);
     drop(state);
     tracing::info!("agent: list {version} is in force");
-    agent.list_taken.notify_one();
+    agent.list_applied.notify_one();
     true
 }
 
-// Brings gate and slots to what the list says.
-fn enforce(agent: &agent::Agent, state: &mut agent::State) {
+// Updates the gate and the slots from the service of this server in the current list.
+fn apply_service(agent: &agent::Agent, state: &mut agent::State) {
     let now = clock::now();
     let unix = clock::unix_ms();
     let server = &agent.settings.server;
     let Some(service) = state.service(server) else { return };
     let revision = state.revisions.current();
     let joined = revision.joined_ago(&service.name, server, unix);
-    let removed: Vec<_> =
-        revision.removed.iter().filter(|gone| gone.service == service.name).cloned().collect();
+    let removed: Vec<_> = revision
+        .removed
+        .iter()
+        .filter(|removal| removal.service == service.name)
+        .cloned()
+        .collect();
     state.gate.set_window(service.window);
     state.mark_first_complete(server);
     if let Some(ago) = joined {
@@ -92,8 +103,8 @@
         let ago = time::Duration::from_millis(unix.saturating_sub(removal.at_ms));
         state.gate.record_removal(&removal.server, ago, now);
     }
-    let gone = state.gone.clone();
-    state.gate.observe(service.servers(), |name| gone.contains(name), now);
+    let gone_servers = state.gone_servers.clone();
+    state.gate.observe(service.servers(), |name| gone_servers.contains(name), now);
     if let list::Kind::Plain(plain) = &service.kind {
         state.slots.set_capacity(plain.slots);
         state.loaded = true;
@@ -106,61 +117,62 @@
         instances::Instances::new(agent.client.clone(), &agent.settings.platform.instances);
     loop {
         poll(&agent).await;
-        if let Ok(seen) = instances.read().await {
-            note_instances(&agent, &seen);
+        if let Ok(found) = instances.read().await {
+            record_instances(&agent, &found);
         }
         let period = poll_period(&agent);
         tokio::select! {
             () = tokio::time::sleep(clock::jitter(period)) => {}
-            () = agent.list_wanted.notified() => tokio::time::sleep(clock::jitter(HURRY)).await,
+            () = agent.poll_requested.notified() => tokio::time::sleep(clock::jitter(REQUEST_DELAY)).await,
         }
     }
 }
 
-// Entries tell of new lists; polling is for when no entry is heard, and to see oneself dropped.
+// Entries report new lists. Polling covers the case that no entry reaches this agent, and lets it
+// notice that its server was removed from the list.
 fn poll_period(agent: &agent::Agent) -> time::Duration {
     let state = agent.lock();
     match state.service(&agent.settings.server) {
-        Some(service) => POLL.min(service.window / POLLS_A_WINDOW),
-        None => FIRST_POLL,
+        Some(service) => MAX_POLL_PERIOD.min(service.window / POLLS_PER_WINDOW),
+        None => INITIAL_POLL_PERIOD,
     }
 }
 
 async fn poll(agent: &agent::Agent) {
     loop {
         let version = agent.lock().revisions.version();
-        let news = match service_list::read_update(&agent.table, version).await {
-            Ok(news) => news,
-            Err(err) => return tracing::debug!("agent: list not read: {err}"),
+        let update = match service_list::read_update(&agent.table, version).await {
+            Ok(update) => update,
+            Err(err) => return tracing::debug!("agent: reading the list failed: {err}"),
         };
-        if take(agent, &news) {
+        if apply(agent, &update) {
             continue;
         }
-        // A change that does not fit the current revision: the whole list replaces it.
-        if matches!(news, service_list::ListUpdate::Change(_, _))
+        // A change that does not apply to the current revision: read the whole list.
+        if matches!(update, service_list::ListUpdate::Change(_, _))
             && let Ok(whole) = service_list::read_update(&agent.table, 0).await
         {
-            take(agent, &whole);
+            apply(agent, &whole);
         }
         return;
     }
 }
 
-fn note_instances(agent: &agent::Agent, seen: &[instances::Instance]) {
-    let live: collections::BTreeSet<_> = seen.iter().map(|instance| &instance.name).collect();
+fn record_instances(agent: &agent::Agent, found: &[instances::Instance]) {
+    let live: collections::BTreeSet<_> = found.iter().map(|instance| &instance.name).collect();
     let mut state = agent.lock();
-    state.instances = seen.to_vec();
+    state.instances = found.to_vec();
     let listed: Vec<_> = match state.assignment(&agent.settings.server) {
         Some((service, _)) => service.servers().to_vec(),
         None => return,
     };
-    state.gone = listed.iter().filter(|name| !live.contains(name)).cloned().collect();
-    let gone = state.gone.clone();
-    state.gate.observe(&listed, |name| gone.contains(name), clock::now());
-    let own = seen.iter().find(|instance| instance.name == agent.settings.server);
+    state.gone_servers = listed.iter().filter(|name| !live.contains(name)).cloned().collect();
+    let gone_servers = state.gone_servers.clone();
+    state.gate.observe(&listed, |name| gone_servers.contains(name), clock::now());
+    let own = found.iter().find(|instance| instance.name == agent.settings.server);
     let is_leaving = own.is_some_and(|own| own.state == instances::State::Leaving);
     drop(state);
     if is_leaving {
-        note_leaving(agent);
+        record_leaving(agent);
     }
 }
