--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -24,8 +24,8 @@
 mod output;
 mod plain;
 mod prefill;
+mod registration;
 mod run;
-mod slot;
 mod sweep;
 
 pub use run::run;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_node::{clock, server, signals};
 
-use crate::{agent, beats, converge, http, link, lists, settings, slot, sweep};
+use crate::{agent, beats, converge, http, link, lists, registration, settings, sweep};
 
 const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
 
@@ -18,7 +18,7 @@
     println!("listening http={} peer={}", web.local_addr()?, listener.local_addr()?);
     let agent = sync::Arc::new(agent::Agent::new(settings));
     tracing::info!("agent: started beside {}", agent.settings.server);
-    tokio::spawn(slot::register(agent.clone()));
+    tokio::spawn(registration::register(agent.clone()));
     tokio::spawn(lists::follow(agent.clone()));
     tokio::spawn(converge::run(agent.clone()));
     tokio::spawn(beats::serve(agent.clone(), udp));
@@ -45,7 +45,7 @@
         }
         tokio::time::sleep(DRAIN_STEP).await;
     }
-    if let Err(err) = slot::hand_over(agent).await {
+    if let Err(err) = registration::hand_over(agent).await {
         tracing::warn!("agent: key records not handed over: {err}");
     }
     tracing::info!("agent: stopped");
