--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -9,7 +9,7 @@
 use rhubarb_node::{client, clock, instances, locks, metrics, objects, table};
 use rhubarb_wire::message;
 
-use crate::{job, loaded, output, settings};
+use crate::{job, model, output, settings};
 
 /// One agent.
 #[derive(Debug)]
@@ -41,14 +41,14 @@
     pub(crate) instances: Vec<instances::Instance>,
     /// Whether a service list has been applied.
     pub(crate) has_list: bool,
-    /// Whether the backend server can serve; it may run an older model until the new one is in.
+    /// Whether the backend server is ready; while a new model loads, it still serves the old one.
     pub(crate) loaded: bool,
-    /// What the engine runs.
-    pub(crate) running: Option<loaded::Loaded>,
-    /// Whether the services that this one depends on serve, as an entry says.
+    /// Model that the engine runs; `None` until this process has loaded one.
+    pub(crate) model: Option<model::Model>,
+    /// Whether an entry has reported that the services this one depends on are ready.
     pub(crate) depends_ready: bool,
-    /// Whether what an earlier agent left at the engine was cancelled.
-    pub(crate) swept: bool,
+    /// Whether the runs that an earlier agent left at the engine were cancelled.
+    pub(crate) engine_cleared: bool,
     /// Fencing number; zero until the table has given one.
     pub(crate) fence: u64,
     /// Whether the table knows of this process.
@@ -115,9 +115,9 @@
             instances: Vec::new(),
             has_list: false,
             loaded: false,
-            running: None,
+            model: None,
             depends_ready: false,
-            swept: false,
+            engine_cleared: false,
             fence: 0,
             registered: false,
             first_process: false,
--- a/crates/agent/src/converge.rs
+++ b/crates/agent/src/converge.rs
@@ -8,7 +8,7 @@
 use rhubarb_core::list;
 use rhubarb_node::clock;
 
-use crate::{agent, engine, loaded};
+use crate::{agent, engine, model};
 
 const LOAD_LIMIT: time::Duration = time::Duration::from_secs(300);
 const ENGINE_LIMIT: time::Duration = time::Duration::from_secs(2);
@@ -18,7 +18,7 @@
 
 #[derive(Debug)]
 struct Task {
-    wanted: loaded::Loaded,
+    wanted: model::Model,
     role: list::Role,
     fence: Option<u64>,
     depends: bool,
@@ -43,13 +43,13 @@
 fn next_task(agent: &agent::Agent) -> Option<Task> {
     let state = agent.lock();
     let (service, role) = state.assignment(&agent.settings.server)?;
-    let list::Kind::Model(model) = &service.kind else { return None };
-    let wanted = loaded::Loaded {
-        weights: model.weights.clone(),
-        version: model.version,
-        adapters: model.adapters.clone(),
+    let list::Kind::Model(listed) = &service.kind else { return None };
+    let wanted = model::Model {
+        weights: listed.weights.clone(),
+        version: listed.version,
+        adapters: listed.adapters.clone(),
     };
-    if state.running.as_ref() == Some(&wanted) {
+    if state.model.as_ref() == Some(&wanted) {
         return None;
     }
     let fence = (service.fenced && state.registered).then_some(state.fence);
@@ -66,9 +66,9 @@
 
 // Orders the engine to load; false if that has to be tried again.
 async fn load(agent: &agent::Agent, task: &Task) -> bool {
-    if !agent.lock().swept {
+    if !agent.lock().engine_cleared {
         engine::cancel_all(agent).await;
-        agent.lock().swept = true;
+        agent.lock().engine_cleared = true;
     }
     let wanted = &task.wanted;
     let url = format!("{}/model", agent.settings.engine);
@@ -96,7 +96,7 @@
     let Some(slots) = slots else { return false };
     let mut state = agent.lock();
     state.slots.set_capacity(slots);
-    state.running = Some(wanted.clone());
+    state.model = Some(wanted.clone());
     state.loaded = true;
     tracing::info!("agent: engine runs {} version {}", wanted.weights, wanted.version);
     true
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -20,7 +20,7 @@
 mod jobs;
 mod link;
 mod lists;
-mod loaded;
+mod model;
 mod output;
 mod plain;
 mod prefill;
--- a/crates/agent/src/loaded.rs
+++ b/crates/agent/src/model.rs
@@ -1,8 +1,8 @@
-//! The model of an engine.
+//! Model of an engine.
 
-/// A model that an engine runs, or is to run.
+/// A model that an engine runs or has to load.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Loaded {
+pub(crate) struct Model {
     pub(crate) weights: String,
     pub(crate) version: u64,
     pub(crate) adapters: Vec<String>,
