--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -12,7 +12,6 @@
 
 mod agent;
 mod beats;
-mod converge;
 mod decode;
 mod engine;
 mod http;
@@ -21,6 +20,7 @@
 mod link;
 mod lists;
 mod model;
+mod model_loader;
 mod output;
 mod plain;
 mod prefill;
--- a/crates/agent/src/converge.rs
+++ b/crates/agent/src/model_loader.rs
@@ -1,4 +1,4 @@
-//! Brings the engine to the model that the service list asks for.
+//! Loads the model that the service list specifies into the engine.
 
 use std::{sync, time};
 
@@ -10,37 +10,37 @@
 
 use crate::{agent, engine, model};
 
-const LOAD_LIMIT: time::Duration = time::Duration::from_secs(300);
-const ENGINE_LIMIT: time::Duration = time::Duration::from_secs(2);
-const RETRY: time::Duration = time::Duration::from_millis(200);
-/// Time for which services that this one depends on may come first.
-const DEPENDS_LIMIT: time::Duration = time::Duration::from_secs(10);
+const LOAD_TIMEOUT: time::Duration = time::Duration::from_secs(300);
+const QUERY_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
+/// Longest wait for the services that this one depends on; after it, the model is loaded anyway.
+const DEPENDS_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 #[derive(Debug)]
-struct Task {
+struct LoadTask {
     wanted: model::Model,
     role: list::Role,
     fence: Option<u64>,
-    depends: bool,
+    has_depends: bool,
 }
 
-/// Converges until the task is dropped.
+/// Keeps the engine on the listed model until the task is dropped.
 pub(crate) async fn run(agent: sync::Arc<agent::Agent>) {
     loop {
         let Some(task) = next_task(&agent) else {
             agent.list_applied.notified().await;
             continue;
         };
-        if task.depends {
-            wait_depends(&agent).await;
+        if task.has_depends {
+            wait_for_depends(&agent).await;
         }
         if !load(&agent, &task).await {
-            tokio::time::sleep(clock::jitter(RETRY)).await;
+            tokio::time::sleep(clock::jitter(RETRY_DELAY)).await;
         }
     }
 }
 
-fn next_task(agent: &agent::Agent) -> Option<Task> {
+fn next_task(agent: &agent::Agent) -> Option<LoadTask> {
     let state = agent.lock();
     let (service, role) = state.assignment(&agent.settings.server)?;
     let list::Kind::Model(listed) = &service.kind else { return None };
@@ -53,19 +53,19 @@
         return None;
     }
     let fence = (service.fenced && state.registered).then_some(state.fence);
-    Some(Task { wanted, role, fence, depends: !service.depends.is_empty() })
+    Some(LoadTask { wanted, role, fence, has_depends: !service.depends.is_empty() })
 }
 
-// Entries tell whether the services that this one depends on serve.
-async fn wait_depends(agent: &agent::Agent) {
-    let deadline = clock::now() + DEPENDS_LIMIT;
+// Entries report whether the services that this one depends on are ready.
+async fn wait_for_depends(agent: &agent::Agent) {
+    let deadline = clock::now() + DEPENDS_TIMEOUT;
     while !agent.lock().depends_ready && clock::now() < deadline {
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-// Orders the engine to load; false if that has to be tried again.
-async fn load(agent: &agent::Agent, task: &Task) -> bool {
+// Loads the model into the engine; false if it has to be retried.
+async fn load(agent: &agent::Agent, task: &LoadTask) -> bool {
     if !agent.lock().engine_cleared {
         engine::cancel_all(agent).await;
         agent.lock().engine_cleared = true;
@@ -78,14 +78,14 @@
         "adapters": wanted.adapters,
         "fence": task.fence,
     });
-    match agent.client.post_json(&url, &content, LOAD_LIMIT).await {
+    match agent.client.post_json(&url, &content, LOAD_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => {}
         Ok(reply) => {
-            tracing::warn!("agent: engine refused its model: status {}", reply.status);
+            tracing::warn!("agent: engine rejected the model: status {}", reply.status);
             return false;
         }
         Err(err) => {
-            tracing::warn!("agent: engine has no model yet: {err}");
+            tracing::warn!("agent: loading the model failed: {err}");
             return false;
         }
     }
@@ -104,7 +104,7 @@
 
 async fn read_slots(agent: &agent::Agent) -> Option<u32> {
     let url = format!("{}/load", agent.settings.engine);
-    let reply = agent.client.get(&url, ENGINE_LIMIT).await.ok()?;
+    let reply = agent.client.get(&url, QUERY_TIMEOUT).await.ok()?;
     let load: serde_json::Value = serde_json::from_slice(&reply.body).ok()?;
     Some(load.get("rooms")?.as_u64()? as u32)
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_node::{clock, server, signals};
 
-use crate::{agent, beats, converge, http, link, lists, registration, settings, sweep};
+use crate::{agent, beats, http, link, lists, model_loader, registration, settings, sweep};
 
 const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
 
@@ -20,7 +20,7 @@
     tracing::info!("agent: started beside {}", agent.settings.server);
     tokio::spawn(registration::register(agent.clone()));
     tokio::spawn(lists::follow(agent.clone()));
-    tokio::spawn(converge::run(agent.clone()));
+    tokio::spawn(model_loader::run(agent.clone()));
     tokio::spawn(beats::serve(agent.clone(), udp));
     tokio::spawn(sweep::run(agent.clone()));
     tokio::spawn(link::serve(agent.clone(), listener));
