--- a/crates/agent/src/beats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Answers load requests by UDP.
+//! Replies to the heartbeats of entries with load reports, by UDP.
 
 use std::sync;
 
@@ -8,7 +8,7 @@
 
 use crate::{agent, lists};
 
-/// Serves datagrams until the task is dropped.
+/// Replies to datagrams until the task is dropped.
 pub(crate) async fn serve(agent: sync::Arc<agent::Agent>, socket: net::UdpSocket) {
     let mut buffer = [0; datagram::MAX_BYTES + 1];
     loop {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,9 +11,9 @@
 pub mod settings;
 
 mod agent;
-mod beats;
 mod decode;
 mod engine;
+mod heartbeats;
 mod http;
 mod job;
 mod jobs;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_node::{clock, server, signals};
 
-use crate::{agent, beats, http, link, lists, model_loader, registration, settings, sweep};
+use crate::{agent, heartbeats, http, link, lists, model_loader, registration, settings, sweep};
 
 const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
 
@@ -21,7 +21,7 @@
     tokio::spawn(registration::register(agent.clone()));
     tokio::spawn(lists::follow(agent.clone()));
     tokio::spawn(model_loader::run(agent.clone()));
-    tokio::spawn(beats::serve(agent.clone(), udp));
+    tokio::spawn(heartbeats::serve(agent.clone(), udp));
     tokio::spawn(sweep::run(agent.clone()));
     tokio::spawn(link::serve(agent.clone(), listener));
     let shared = agent.clone();
