--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -209,7 +209,7 @@
     /// Counts the answer of a run as kept for its key.
     pub(crate) fn keep_output(&mut self, run: ids::RunId) {
         if let Some(output) = self.outputs.get(&run) {
-            self.kept_bytes += output.keep();
+            self.kept_bytes += output.mark_kept();
         }
     }
 
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -304,7 +304,7 @@
     }
     if let Some(output) = output {
         output.finish(match result {
-            Ok(()) => output::End::Whole,
+            Ok(()) => output::End::Complete,
             Err(refusal) => output::End::Refused(refusal),
         });
     }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -1,4 +1,4 @@
-//! Answer of one run, kept so that it can be sent again from any position.
+//! Response of one run, buffered so that it can be resent from any offset.
 
 use std::sync;
 
@@ -8,7 +8,7 @@
 use rhubarb_node::locks;
 use rhubarb_wire::{chunk, message, offer};
 
-/// Answer being produced.
+/// Response of a run, complete or still growing.
 #[derive(Debug)]
 pub(crate) struct Output {
     buffer: sync::Mutex<Buffer>,
@@ -20,20 +20,20 @@
     head: Option<(u16, Vec<offer::Header>)>,
     bytes: Vec<u8>,
     end: Option<End>,
-    // Bytes that are counted as kept for an idempotency key.
-    kept: usize,
+    // Bytes counted as kept for an idempotency key.
+    kept_bytes: usize,
 }
 
-/// End of an answer.
+/// End of a response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum End {
-    /// The answer is whole.
-    Whole,
+    /// The response is complete.
+    Complete,
     /// The run was refused or failed.
     Refused(outcome::Refusal),
 }
 
-/// Most bytes of an answer that an agent keeps.
+/// Maximum size of a response, in bytes.
 pub(crate) const MAX_BYTES: usize = 16 * 1024 * 1024;
 const CHUNK_BYTES: usize = 64 * 1024;
 
@@ -43,11 +43,15 @@
         sync::Arc::new(Output { buffer: sync::Mutex::default(), changed })
     }
 
-    /// Makes the output of a run of the process before.
-    pub(crate) fn restored(status: u16, headers: Vec<offer::Header>, bytes: Vec<u8>) -> Output {
+    /// Creates the complete output of a run of the previous process.
+    pub(crate) fn from_handover(
+        status: u16,
+        headers: Vec<offer::Header>,
+        bytes: Vec<u8>,
+    ) -> Output {
         let (changed, _) = watch::channel(());
         let head = Some((status, headers));
-        let buffer = Buffer { head, bytes, end: Some(End::Whole), kept: 0 };
+        let buffer = Buffer { head, bytes, end: Some(End::Complete), kept_bytes: 0 };
         Output { buffer: sync::Mutex::new(buffer), changed }
     }
 
@@ -56,7 +60,7 @@
         self.changed.send_replace(());
     }
 
-    /// Appends a piece; false if the answer became too long.
+    /// Appends a part of the body; false if the response would exceed `MAX_BYTES`.
     pub(crate) fn push(&self, bytes: &[u8]) -> bool {
         let mut buffer = self.lock();
         if buffer.bytes.len() + bytes.len() > MAX_BYTES {
@@ -68,32 +72,32 @@
         true
     }
 
-    /// Ends the answer; only the first end counts.
+    /// Ends the response; later ends are ignored.
     pub(crate) fn finish(&self, end: End) {
         self.lock().end.get_or_insert(end);
         self.changed.send_replace(());
     }
 
-    /// Marks the answer as kept for its key and returns its size.
-    pub(crate) fn keep(&self) -> usize {
+    /// Marks the response as kept for its idempotency key and returns its size in bytes.
+    pub(crate) fn mark_kept(&self) -> usize {
         let mut buffer = self.lock();
-        buffer.kept = buffer.bytes.len();
-        buffer.kept
+        buffer.kept_bytes = buffer.bytes.len();
+        buffer.kept_bytes
     }
 
-    /// Bytes that are counted as kept.
+    /// Bytes counted as kept for an idempotency key.
     pub(crate) fn kept_bytes(&self) -> usize {
-        self.lock().kept
+        self.lock().kept_bytes
     }
 
-    /// Status, headers and bytes of a whole answer.
-    pub(crate) fn whole(&self) -> Option<(u16, Vec<offer::Header>, Vec<u8>)> {
+    /// Status, headers and body of the response if it is complete.
+    pub(crate) fn complete_response(&self) -> Option<(u16, Vec<offer::Header>, Vec<u8>)> {
         let buffer = self.lock();
         let (status, headers) = buffer.head.clone()?;
-        matches!(buffer.end, Some(End::Whole)).then(|| (status, headers, buffer.bytes.clone()))
+        matches!(buffer.end, Some(End::Complete)).then(|| (status, headers, buffer.bytes.clone()))
     }
 
-    /// Waits until something follows `cursor` and returns it; `None` after the end.
+    /// Waits for the next message after `cursor` and returns it; `None` after the end.
     pub(crate) async fn next(
         &self,
         run: ids::RunId,
@@ -102,11 +106,11 @@
         let mut changed = self.changed.subscribe();
         loop {
             changed.mark_unchanged();
-            if cursor.ended {
+            if cursor.end_sent {
                 return None;
             }
-            if let Some(notice) = self.poll(run, cursor) {
-                return Some(notice);
+            if let Some(message) = self.poll(run, cursor) {
+                return Some(message);
             }
             changed.changed().await.ok()?;
         }
@@ -114,8 +118,8 @@
 
     fn poll(&self, run: ids::RunId, cursor: &mut Cursor) -> Option<message::ToEntry> {
         let buffer = self.lock();
-        if let (false, Some((status, headers))) = (cursor.head, &buffer.head) {
-            cursor.head = true;
+        if let (false, Some((status, headers))) = (cursor.head_sent, &buffer.head) {
+            cursor.head_sent = true;
             let head = message::Head { run, status: *status, headers: headers.clone() };
             return Some(message::ToEntry::Head(head));
         }
@@ -127,9 +131,9 @@
             return Some(message::ToEntry::Chunk(chunk::Chunk { run, offset, bytes }));
         }
         let end = buffer.end?;
-        cursor.ended = true;
+        cursor.end_sent = true;
         Some(match end {
-            End::Whole => {
+            End::Complete => {
                 message::ToEntry::End(message::End { run, length: buffer.bytes.len() as u64 })
             }
             End::Refused(refusal) => message::ToEntry::Refused(message::Refused { run, refusal }),
@@ -141,16 +145,16 @@
     }
 }
 
-/// How much of an answer one entry has been sent.
+/// How much of a response was sent to one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cursor {
     offset: u64,
-    head: bool,
-    ended: bool,
+    head_sent: bool,
+    end_sent: bool,
 }
 
 impl Cursor {
-    /// Cursor of an entry that has the first `offset` bytes.
+    /// Cursor of an entry that has received the first `offset` bytes of the body.
     pub(crate) fn at(offset: u64) -> Cursor {
         Cursor { offset, ..Cursor::default() }
     }
--- a/crates/agent/src/registration.rs
+++ b/crates/agent/src/registration.rs
@@ -109,7 +109,8 @@
     let downtime = time::Duration::from_millis(downtime_ms);
     state.gate.import(&handover.handover, downtime, clock::now());
     for response in handover.answers {
-        let output = output::Output::restored(response.status, response.headers, response.bytes);
+        let output =
+            output::Output::from_handover(response.status, response.headers, response.bytes);
         state.outputs.insert(response.run, sync::Arc::new(output));
         state.keep_output(response.run);
     }
@@ -136,7 +137,7 @@
 fn export(state: &agent::State) -> Option<StoredHandover> {
     let handover = state.gate.export(clock::now())?;
     let answers = handover.records.iter().filter_map(|record| {
-        let (status, headers, bytes) = state.outputs.get(&record.run)?.whole()?;
+        let (status, headers, bytes) = state.outputs.get(&record.run)?.complete_response()?;
         Some(StoredResponse { run: record.run, status, headers, bytes })
     });
     let answers = answers.collect();
