--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -58,7 +58,8 @@
     pub(crate) outputs: collections::BTreeMap<ids::RunId, sync::Arc<output::Output>>,
     /// Bytes of the answers to idempotency keys in `outputs`.
     pub(crate) kept_bytes: usize,
-    pub(crate) waiting: collections::BTreeMap<ids::RunId, job::Waiting>,
+    /// Jobs that wait for a slot.
+    pub(crate) queued: collections::BTreeMap<ids::RunId, job::QueuedJob>,
     /// Live links to entries.
     pub(crate) links: collections::BTreeMap<u64, job::Sender>,
     pub(crate) tasks: collections::BTreeMap<ids::RunId, task::AbortHandle>,
@@ -123,7 +124,7 @@
             first_process: false,
             outputs: collections::BTreeMap::new(),
             kept_bytes: 0,
-            waiting: collections::BTreeMap::new(),
+            queued: collections::BTreeMap::new(),
             links: collections::BTreeMap::new(),
             tasks: collections::BTreeMap::new(),
         };
--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -1,24 +1,24 @@
-//! What an entry asks of an agent.
+//! Jobs that entries send to an agent.
 
 use tokio::sync::mpsc;
 
 use rhubarb_core::{ids, list};
 use rhubarb_wire::{message, offer};
 
-/// Frames on their way to an entry.
+/// Sends messages to one entry.
 pub(crate) type Sender = mpsc::Sender<message::ToEntry>;
 
-/// A job that waits for a slot.
+/// Job that waits for a slot.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedJob {
     pub(crate) job: Job,
     pub(crate) sender: Sender,
 }
 
-/// What to do once a slot is granted.
+/// Work to start once a slot is granted.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Run a plain call.
+    /// Run a plain request.
     Plain(offer::Offer),
     /// Prefill a prompt.
     Prefill(message::Prefill),
@@ -27,7 +27,7 @@
 }
 
 impl Job {
-    /// Id of the run that the job asks for.
+    /// Id of the job's run.
     pub(crate) fn run(&self) -> ids::RunId {
         match self {
             Job::Plain(offer) => offer.run,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Role of a server that can do it.
+    /// Role that a server needs to do the job.
     pub(crate) fn role(&self) -> list::Role {
         match self {
             Job::Plain(_) => list::Role::Plain,
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -8,7 +8,7 @@
 
 use crate::{agent, decode, engine, job, output, plain, prefill};
 
-use job::{Job, Sender, Waiting};
+use job::{Job, QueuedJob, Sender};
 use outcome::{RETRY_SOON, Reason, Refusal};
 
 type Shared = sync::Arc<agent::Agent>;
@@ -20,7 +20,7 @@
     let admission = admit(agent, &mut state, &job);
     if matches!(admission, Admission::Wait) {
         // Under the same lock, so that a slot that is freed meanwhile is granted to the job.
-        state.waiting.insert(run, Waiting { job, sender: sender.clone() });
+        state.queued.insert(run, QueuedJob { job, sender: sender.clone() });
         return;
     }
     drop(state);
@@ -227,7 +227,7 @@
     }
     let settled = state.gate.withdraw(resume.run, now);
     state.slots.release(resume.run, now);
-    state.waiting.remove(&resume.run);
+    state.queued.remove(&resume.run);
     drop(state);
     let refusal = match settled {
         gate::Withdrawal::NotRun => Refusal::not_run(Reason::Withdrawn, RETRY_SOON),
@@ -241,7 +241,7 @@
 pub(crate) fn cancel(agent: &Shared, run: ids::RunId) {
     let now = clock::now();
     let mut state = agent.lock();
-    state.waiting.remove(&run);
+    state.queued.remove(&run);
     match state.gate.withdraw(run, now) {
         gate::Withdrawal::NotRun => state.slots.release(run, now),
         gate::Withdrawal::Ended => {}
@@ -260,7 +260,7 @@
 pub(crate) fn cancel_orphan(agent: &Shared, run: ids::RunId) {
     let now = clock::now();
     let mut state = agent.lock();
-    state.waiting.remove(&run);
+    state.queued.remove(&run);
     if state.gate.withdraw(run, now) == gate::Withdrawal::NotRun {
         state.slots.release(run, now);
         return;
@@ -316,10 +316,10 @@
     loop {
         let mut state = agent.lock();
         let Some(run) = state.slots.next_grant(clock::now()) else { return };
-        let waiting = state.waiting.remove(&run);
+        let waiting = state.queued.remove(&run);
         drop(state);
         match waiting {
-            Some(Waiting { job, sender }) => execute(agent, job, &sender),
+            Some(QueuedJob { job, sender }) => execute(agent, job, &sender),
             None => agent.lock().slots.release(run, clock::now()),
         }
     }
@@ -328,7 +328,7 @@
 /// Drops a waiting job or an unused reservation whose time has passed.
 pub(crate) fn expire(agent: &Shared, run: ids::RunId, refusal: Refusal) {
     let mut state = agent.lock();
-    let waiting = state.waiting.remove(&run);
+    let waiting = state.queued.remove(&run);
     state.gate.withdraw(run, clock::now());
     drop(state);
     agent.count(refusal);
