--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Takes orders through the gate and the queue for slots to their runs.
+//! Admits jobs through the gate and the slot queue, runs them and ends them.
 
 use std::{sync, time};
 
@@ -18,30 +18,37 @@
     let run = job.run();
     let mut state = agent.lock();
     let admission = admit(agent, &mut state, &job);
-    if matches!(admission, Admission::Wait) {
-        // Under the same lock, so that a slot that is freed meanwhile is granted to the job.
+    if matches!(admission, Admission::Queue) {
+        // Queued under the same lock, so that a slot that is freed meanwhile is granted to the job.
         state.queued.insert(run, QueuedJob { job, sender: sender.clone() });
         return;
     }
     drop(state);
     match admission {
-        Admission::Go => execute(agent, job, sender),
-        Admission::Replay(old) => replay(agent, old, run, sender),
+        Admission::Run => execute(agent, job, sender),
+        Admission::Replay(earlier) => replay(agent, earlier, run, sender),
         Admission::Refuse(refusal) => refuse(agent, run, refusal, sender),
-        Admission::Wait | Admission::Ignore => {}
+        Admission::Queue | Admission::Ignore => {}
     }
 }
 
+// What to do with a job.
 enum Admission {
-    Go,
-    Wait,
+    /// Run it now.
+    Run,
+    /// Queue it for a slot.
+    Queue,
+    /// Send the response of this earlier run with the same key.
     Replay(ids::RunId),
+    /// Refuse it.
     Refuse(Refusal),
+    /// Ignore it as a duplicate of a known run.
     Ignore,
 }
 
-// A plain call with a key is left to end, since nothing tells how much of it was done.
-fn write_offer(agent: &Shared, job: &Job) -> gate::Offer {
+// A plain request with a key cannot be cancelled, because the agent would not know how much of it
+// the server has done.
+fn to_gate_offer(agent: &Shared, job: &Job) -> gate::Offer {
     let (key, start_by_ms, cancellable) = match job {
         Job::Plain(offer) => (offer.key, offer.start_by_ms, offer.key.is_none()),
         Job::Prefill(prefill) => (None, prefill.start_by_ms, true),
@@ -52,14 +59,14 @@
 
 fn admit(agent: &Shared, state: &mut agent::State, job: &Job) -> Admission {
     let now = clock::now();
-    let offer = write_offer(agent, job);
+    let offer = to_gate_offer(agent, job);
     if let Some(refusal) = check_available(agent, state, job, offer.key.is_some()) {
         return Admission::Refuse(refusal);
     }
     match state.gate.offer(offer, now) {
         gate::Decision::Accept => {}
         gate::Decision::Duplicate => return Admission::Ignore,
-        gate::Decision::Answered(old) => return Admission::Replay(old),
+        gate::Decision::Answered(earlier) => return Admission::Replay(earlier),
         gate::Decision::Refuse(refusal) => return Admission::Refuse(refusal),
     }
     if offer.key.is_some() && state.kept_bytes >= agent.settings.max_answers {
@@ -67,8 +74,8 @@
         return Admission::Refuse(Refusal::not_run(Reason::RecordsFull, RETRY_SOON));
     }
     match request_slot(agent, state, job, offer.start_by) {
-        slots::Answer::Granted => Admission::Go,
-        slots::Answer::Queued => Admission::Wait,
+        slots::Answer::Granted => Admission::Run,
+        slots::Answer::Queued => Admission::Queue,
         slots::Answer::Refused(refusal) => {
             state.gate.withdraw(offer.run, now);
             Admission::Refuse(refusal)
@@ -115,18 +122,18 @@
     let assignment = state.assignment(&agent.settings.server);
     if assignment.is_none_or(|(_, role)| role != job.role()) {
         let reason = if state.has_list { Reason::NoServer } else { Reason::NoList };
-        return Some(refuse_early(reason, keyed));
+        return Some(refuse_before_gate(reason, keyed));
     }
     if !state.loaded {
-        return Some(refuse_early(Reason::NotLoaded, keyed));
+        return Some(refuse_before_gate(Reason::NotLoaded, keyed));
     }
     let is_fenced = assignment.is_some_and(|(service, _)| service.fenced);
     let lacks_fence = keyed && is_fenced && !state.registered;
     lacks_fence.then(|| Refusal::unknown(Reason::KeyUncertain, RETRY_SOON))
 }
 
-// The gate has not looked at the key yet, so an earlier copy of it may have run.
-fn refuse_early(reason: Reason, keyed: bool) -> Refusal {
+// The gate has not checked the key yet, so an earlier attempt with the key may have run.
+fn refuse_before_gate(reason: Reason, keyed: bool) -> Refusal {
     if keyed { Refusal::unknown(reason, RETRY_SOON) } else { Refusal::not_run(reason, RETRY_SOON) }
 }
 
@@ -148,17 +155,17 @@
                 finish(&agent_ref, run, result.as_ref().map(drop).map_err(|refusal| *refusal));
                 let refused =
                     |refusal| message::ToEntry::Refused(message::Refused { run, refusal });
-                let notice = result.map_or_else(refused, message::ToEntry::Prefilled);
-                let _ = sender_ref.send(notice).await;
+                let message = result.map_or_else(refused, message::ToEntry::Prefilled);
+                let _ = sender_ref.send(message).await;
             });
         }
-        Job::Reserve(_) => tell(sender, message::ToEntry::Reserved(run)),
+        Job::Reserve(_) => spawn_send(sender, message::ToEntry::Reserved(run)),
     }
 }
 
 /// Starts the decode of a reserved run.
-pub(crate) fn start_decode(agent: &Shared, order: message::Decode, sender: &Sender) {
-    let run = order.run;
+pub(crate) fn start_decode(agent: &Shared, request: message::Decode, sender: &Sender) {
+    let run = request.run;
     if !agent.lock().slots.claim(run) {
         let refusal = Refusal::not_run(Reason::TooLate, RETRY_SOON);
         agent.lock().gate.withdraw(run, clock::now());
@@ -167,7 +174,7 @@
     let output = open_output(agent, run, 0, sender);
     let agent_ref = agent.clone();
     spawn(agent, run, async move {
-        let result = decode::call(&agent_ref, order, &output).await;
+        let result = decode::call(&agent_ref, request, &output).await;
         finish(&agent_ref, run, result);
         if result.is_err() {
             engine::cancel(&agent_ref, run);
@@ -176,13 +183,13 @@
 }
 
 fn spawn(agent: &Shared, run: ids::RunId, task: impl Future<Output = ()> + Send + 'static) {
-    // The lock is held so that the task cannot end before it is noted.
+    // The lock is held so that the task cannot end before its handle is stored.
     let mut state = agent.lock();
     let handle = tokio::spawn(task).abort_handle();
     state.tasks.insert(run, handle);
 }
 
-/// Makes the output of a run and sends it to its entry as it grows.
+/// Creates the output of a run and forwards it to the entry as it grows.
 fn open_output(
     agent: &Shared,
     run: ids::RunId,
@@ -191,31 +198,36 @@
 ) -> sync::Arc<output::Output> {
     let output = output::Output::new();
     agent.lock().outputs.insert(run, output.clone());
-    follow(output.clone(), run, offset, sender);
+    forward_output(output.clone(), run, offset, sender);
     output
 }
 
-fn follow(output: sync::Arc<output::Output>, run: ids::RunId, offset: u64, sender: &Sender) {
+fn forward_output(
+    output: sync::Arc<output::Output>,
+    run: ids::RunId,
+    offset: u64,
+    sender: &Sender,
+) {
     let sender = sender.clone();
     tokio::spawn(async move {
         let mut cursor = output::Cursor::at(offset);
-        while let Some(notice) = output.next(run, &mut cursor).await {
-            if sender.send(notice).await.is_err() {
+        while let Some(message) = output.next(run, &mut cursor).await {
+            if sender.send(message).await.is_err() {
                 return;
             }
         }
     });
 }
 
-fn replay(agent: &Shared, old: ids::RunId, run: ids::RunId, sender: &Sender) {
-    let output = agent.lock().outputs.get(&old).cloned();
+fn replay(agent: &Shared, earlier: ids::RunId, run: ids::RunId, sender: &Sender) {
+    let output = agent.lock().outputs.get(&earlier).cloned();
     match output {
-        Some(output) => follow(output, run, 0, sender),
+        Some(output) => forward_output(output, run, 0, sender),
         None => refuse(agent, run, Refusal::unknown(Reason::KeyUncertain, RETRY_SOON), sender),
     }
 }
 
-/// Takes up a run again, or settles that it will never start.
+/// Resumes the response of a run; a run without one is withdrawn, so that it never starts later.
 pub(crate) fn resume(agent: &Shared, resume: message::Resume, sender: &Sender) {
     let now = clock::now();
     let mut state = agent.lock();
@@ -223,21 +235,21 @@
         && state.gate.resume(resume.run)
     {
         drop(state);
-        return follow(output, resume.run, resume.offset, sender);
+        return forward_output(output, resume.run, resume.offset, sender);
     }
-    let settled = state.gate.withdraw(resume.run, now);
+    let withdrawal = state.gate.withdraw(resume.run, now);
     state.slots.release(resume.run, now);
     state.queued.remove(&resume.run);
     drop(state);
-    let refusal = match settled {
+    let refusal = match withdrawal {
         gate::Withdrawal::NotRun => Refusal::not_run(Reason::Withdrawn, RETRY_SOON),
         _ => Refusal::unknown(Reason::LostContact, RETRY_SOON),
     };
     refuse(agent, resume.run, refusal, sender);
-    grant(agent);
+    grant_slots(agent);
 }
 
-/// Cancels a run whose answer nobody wants any more.
+/// Cancels a run at the request of its entry.
 pub(crate) fn cancel(agent: &Shared, run: ids::RunId) {
     let now = clock::now();
     let mut state = agent.lock();
@@ -253,10 +265,10 @@
         }
     }
     drop(state);
-    grant(agent);
+    grant_slots(agent);
 }
 
-/// Cancels a run whose entry was lost.
+/// Cancels a run whose entry has lost contact.
 pub(crate) fn cancel_orphan(agent: &Shared, run: ids::RunId) {
     let now = clock::now();
     let mut state = agent.lock();
@@ -269,7 +281,7 @@
     stop_run(agent, run);
 }
 
-/// Stops a started run and frees what it holds at the engine.
+/// Stops a started run and frees its resources at the engine.
 pub(crate) fn stop_run(agent: &Shared, run: ids::RunId) {
     if let Some(task) = agent.lock().tasks.remove(&run) {
         task.abort();
@@ -278,7 +290,7 @@
     engine::cancel(agent, run);
 }
 
-/// Notes the end of a run, frees its slot and grants it to the next job.
+/// Records the end of a run, frees its slot and grants it to the next job.
 pub(crate) fn finish(agent: &Shared, run: ids::RunId, result: Result<(), Refusal>) {
     let now = clock::now();
     let mut state = agent.lock();
@@ -308,43 +320,44 @@
             Err(refusal) => output::End::Refused(refusal),
         });
     }
-    grant(agent);
+    grant_slots(agent);
 }
 
-/// Grants free slots to waiting jobs.
-pub(crate) fn grant(agent: &Shared) {
+/// Grants free slots to queued jobs and starts them.
+pub(crate) fn grant_slots(agent: &Shared) {
     loop {
         let mut state = agent.lock();
         let Some(run) = state.slots.next_grant(clock::now()) else { return };
-        let waiting = state.queued.remove(&run);
+        let queued = state.queued.remove(&run);
         drop(state);
-        match waiting {
+        match queued {
             Some(QueuedJob { job, sender }) => execute(agent, job, &sender),
             None => agent.lock().slots.release(run, clock::now()),
         }
     }
 }
 
-/// Drops a waiting job or an unused reservation whose time has passed.
+/// Drops a queued job or an unclaimed reservation that has expired.
 pub(crate) fn expire(agent: &Shared, run: ids::RunId, refusal: Refusal) {
     let mut state = agent.lock();
-    let waiting = state.queued.remove(&run);
+    let queued = state.queued.remove(&run);
     state.gate.withdraw(run, clock::now());
     drop(state);
     agent.count(refusal);
-    if let Some(waiting) = waiting {
+    if let Some(queued) = queued {
         let refused = message::Refused { run, refusal };
-        tell(&waiting.sender, message::ToEntry::Refused(refused));
+        spawn_send(&queued.sender, message::ToEntry::Refused(refused));
     }
 }
 
 fn refuse(agent: &Shared, run: ids::RunId, refusal: Refusal, sender: &Sender) {
     agent.count(refusal);
-    tell(sender, message::ToEntry::Refused(message::Refused { run, refusal }));
+    spawn_send(sender, message::ToEntry::Refused(message::Refused { run, refusal }));
 }
 
-// Called where waiting is not possible; the queue to an entry holds far more than its requests.
-fn tell(sender: &Sender, notice: message::ToEntry) {
+// For code that cannot await. The queue to an entry holds far more messages than the entry has
+// requests, so the send rarely waits.
+fn spawn_send(sender: &Sender, message: message::ToEntry) {
     let sender = sender.clone();
-    tokio::spawn(async move { sender.send(notice).await });
+    tokio::spawn(async move { sender.send(message).await });
 }
--- a/crates/agent/src/sweep.rs
+++ b/crates/agent/src/sweep.rs
@@ -37,7 +37,7 @@
         let Some(run) = state.gate.next_expired(now) else { break };
         state.drop_output(run);
     }
-    jobs::grant(agent);
+    jobs::grant_slots(agent);
     let state = agent.lock();
     agent.metrics.held.set(i64::from(state.slots.load(now).held));
     agent.metrics.keys.set(state.gate.key_count() as i64);
