--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections from entries.
+//! Links: connections from entries.
 
 use std::{collections, sync, time};
 
@@ -14,29 +14,32 @@
 
 use crate::{agent, job, jobs, lists};
 
-/// An entry with open runs that sends nothing for this long is out of contact.
-const SILENCE: time::Duration = time::Duration::from_secs(2);
-/// A link without open runs is closed after this silence.
-const IDLE: time::Duration = time::Duration::from_secs(60);
-const ORDERS: usize = 256;
-const PRUNE_ABOVE: usize = 64;
-const HELLO_LIMIT: time::Duration = time::Duration::from_secs(2);
-const QUEUE: usize = 1024;
+/// An entry with open runs that sends nothing for this long has lost contact.
+const CONTACT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// A link without open runs is closed after this time without a message.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
+/// Messages queued from one entry.
+const INBOUND_QUEUE: usize = 256;
+/// Ended runs are pruned when the runs reach twice their number after the last pruning plus this.
+const PRUNE_MARGIN: usize = 64;
+const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Messages queued to one entry.
+const OUTBOUND_QUEUE: usize = 1024;
 const MAX_LINKS: usize = 2048;
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
 type Shared = sync::Arc<agent::Agent>;
 
 /// Accepts entries until the task is dropped.
 pub(crate) async fn serve(agent: Shared, listener: net::TcpListener) {
-    let slots = sync::Arc::new(tokio::sync::Semaphore::new(MAX_LINKS));
+    let permits = sync::Arc::new(tokio::sync::Semaphore::new(MAX_LINKS));
     loop {
-        let slot = slots.clone().acquire_owned().await;
+        let permit = permits.clone().acquire_owned().await;
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let agent = agent.clone();
                 tokio::spawn(async move {
-                    let _slot = slot;
+                    let _permit = permit;
                     if let Err(err) = serve_link(&agent, stream).await {
                         tracing::info!("agent: link to {peer} ended: {err}");
                     }
@@ -44,7 +47,7 @@
             }
             Err(err) => {
                 tracing::warn!("agent: accept failed: {err}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -53,8 +56,8 @@
 async fn serve_link(agent: &Shared, stream: net::TcpStream) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream.into_split();
-    let greeting = greet(agent, &mut reader, &mut writer);
-    match tokio::time::timeout(HELLO_LIMIT, greeting).await {
+    let handshake = handshake(agent, &mut reader, &mut writer);
+    match tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await {
         Ok(Ok(())) => {}
         Ok(Err(err)) => {
             agent.metrics.bad_peers.inc();
@@ -62,17 +65,17 @@
         }
         Err(_) => {
             agent.metrics.bad_peers.inc();
-            anyhow::bail!("no hello in time; check that the peer is an entry");
+            anyhow::bail!("no hello before the timeout; check that the peer is an entry");
         }
     }
-    let (sender, receiver) = mpsc::channel(QUEUE);
+    let (sender, receiver) = mpsc::channel(OUTBOUND_QUEUE);
     let write = tokio::spawn(write_loop(writer, receiver));
-    let (forward, orders) = mpsc::channel(ORDERS);
-    let read = tokio::spawn(read_loop(reader, forward));
+    let (inbound_sender, inbound) = mpsc::channel(INBOUND_QUEUE);
+    let read = tokio::spawn(read_loop(reader, inbound_sender));
     let link = rand::random();
     agent.lock().links.insert(link, sender.clone());
     let mut runs = collections::BTreeSet::new();
-    let ended = obey_all(agent, orders, &sender, &mut runs).await;
+    let result = handle_messages(agent, inbound, &sender, &mut runs).await;
     read.abort();
     write.abort();
     let now = clock::now();
@@ -81,10 +84,10 @@
     for run in runs {
         state.gate.lose_contact(run, now);
     }
-    ended
+    result
 }
 
-async fn greet(
+async fn handshake(
     agent: &agent::Agent,
     reader: &mut tcp::OwnedReadHalf,
     writer: &mut tcp::OwnedWriteHalf,
@@ -96,12 +99,12 @@
         nonce: rand::random(),
     };
     frame::write(writer, &message::ToEntry::Challenge(challenge.clone())).await?;
-    let order = frame::read(reader, frame::MAX_HELLO_BYTES).await?;
-    let message::ToAgent::Hello(hello) = order else {
+    let message = frame::read(reader, frame::MAX_HELLO_BYTES).await?;
+    let message::ToAgent::Hello(hello) = message else {
         anyhow::bail!("the first message is not a hello; check that the peer is an entry");
     };
     if !hello.is_signed(keys, &challenge) {
-        anyhow::bail!("the hello is not signed; give all processes the same shared keys");
+        anyhow::bail!("invalid signature in the hello; give all processes the same shared keys");
     }
     let welcome = message::Welcome::sign(keys, &hello, agent.pong(0));
     frame::write(writer, &message::ToEntry::Welcome(welcome)).await?;
@@ -113,10 +116,10 @@
     mut receiver: mpsc::Receiver<message::ToEntry>,
 ) -> io::Result<()> {
     let mut writer = io::BufWriter::new(writer);
-    while let Some(notice) = receiver.recv().await {
-        writer.write_all(&frame::encode(&notice)).await?;
-        while let Ok(notice) = receiver.try_recv() {
-            writer.write_all(&frame::encode(&notice)).await?;
+    while let Some(message) = receiver.recv().await {
+        writer.write_all(&frame::encode(&message)).await?;
+        while let Ok(message) = receiver.try_recv() {
+            writer.write_all(&frame::encode(&message)).await?;
         }
         writer.flush().await?;
     }
@@ -125,56 +128,58 @@
 
 async fn read_loop(
     mut reader: tcp::OwnedReadHalf,
-    forward: mpsc::Sender<Result<message::ToAgent, frame::FrameError>>,
+    inbound_sender: mpsc::Sender<Result<message::ToAgent, frame::FrameError>>,
 ) {
     loop {
-        let order = frame::read(&mut reader, frame::MAX_FRAME_BYTES).await;
-        let is_last = order.is_err();
-        if forward.send(order).await.is_err() || is_last {
+        let message = frame::read(&mut reader, frame::MAX_FRAME_BYTES).await;
+        let is_last = message.is_err();
+        if inbound_sender.send(message).await.is_err() || is_last {
             return;
         }
     }
 }
 
-// An entry with open runs must be heard of often; one without only now and then.
-async fn obey_all(
+// Handles messages until the link closes or times out: soon if the entry has open runs, later if it
+// has none.
+async fn handle_messages(
     agent: &Shared,
-    mut orders: mpsc::Receiver<Result<message::ToAgent, frame::FrameError>>,
+    mut inbound: mpsc::Receiver<Result<message::ToAgent, frame::FrameError>>,
     sender: &job::Sender,
     runs: &mut collections::BTreeSet<ids::RunId>,
 ) -> anyhow::Result<()> {
-    let mut heard_at = clock::now();
-    let mut kept = 0;
+    let mut received_at = clock::now();
+    let mut pruned_len = 0;
     loop {
-        if let Ok(order) = tokio::time::timeout(SILENCE, orders.recv()).await {
-            let Some(order) = order else { return Ok(()) };
-            heard_at = clock::now();
-            obey(agent, order?, sender, runs).await;
-            if runs.len() < 2 * kept + PRUNE_ABOVE {
+        if let Ok(message) = tokio::time::timeout(CONTACT_TIMEOUT, inbound.recv()).await {
+            let Some(message) = message else { return Ok(()) };
+            received_at = clock::now();
+            handle_message(agent, message?, sender, runs).await;
+            if runs.len() < 2 * pruned_len + PRUNE_MARGIN {
                 continue;
             }
         }
         prune(agent, runs);
-        kept = runs.len();
-        let silence = clock::now() - heard_at;
-        if silence >= IDLE || (silence >= SILENCE && !runs.is_empty()) {
-            anyhow::bail!("the entry is silent; its runs are cancelled unless it returns");
+        pruned_len = runs.len();
+        let idle = clock::now() - received_at;
+        if idle >= IDLE_TIMEOUT || (idle >= CONTACT_TIMEOUT && !runs.is_empty()) {
+            anyhow::bail!("the entry timed out; its runs are cancelled unless it reconnects");
         }
     }
 }
 
+// Removes ended runs, so that the set does not grow with the age of the link.
 fn prune(agent: &agent::Agent, runs: &mut collections::BTreeSet<ids::RunId>) {
     let state = agent.lock();
     runs.retain(|run| state.gate.is_open(*run));
 }
 
-async fn obey(
+async fn handle_message(
     agent: &Shared,
-    order: message::ToAgent,
+    message: message::ToAgent,
     sender: &job::Sender,
     runs: &mut collections::BTreeSet<ids::RunId>,
 ) {
-    match order {
+    match message {
         message::ToAgent::Hello(_) => {}
         message::ToAgent::Offer(offer) => {
             runs.insert(offer.run);
@@ -199,9 +204,9 @@
         }
         message::ToAgent::Ping(ping) => {
             let pong = agent.pong(ping.seq);
-            let wants = lists::is_behind(agent, ping.version);
+            let is_behind = lists::is_behind(agent, ping.version);
             let _ = sender.send(message::ToEntry::Pong(pong)).await;
-            if wants {
+            if is_behind {
                 let version = agent.lock().revisions.version();
                 let _ = sender.send(message::ToEntry::WantList(version)).await;
             }
