--- a/crates/agent/src/decode.rs
+++ b/crates/agent/src/decode.rs
@@ -39,7 +39,7 @@
     agent.metrics.runs.inc();
     let url = format!("{}/decode", agent.settings.engine);
     let content = json!({
-        "id": engine::run_name(order.run),
+        "id": engine::run_id(order.run),
         "prompt": order.prompt,
         "max_tokens": order.max_tokens,
         "skip": order.skip,
@@ -47,9 +47,9 @@
         "handle": order.handle,
         "key": order.key,
     });
-    let request = client::json_request(&url, &content).map_err(|err| engine::describe(&err))?;
+    let request = client::json_request(&url, &content).map_err(|err| engine::to_refusal(&err))?;
     let reply = agent.client.send(request, START_LIMIT).await;
-    let (head, body) = reply.map_err(|err| engine::describe(&err))?.into_parts();
+    let (head, body) = reply.map_err(|err| engine::to_refusal(&err))?.into_parts();
     match head.status {
         StatusCode::OK => {}
         StatusCode::GONE => return Err(Refusal::not_run(Reason::Evicted, RETRY_SOON)),
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to the backend server that are not runs.
+//! Cancellation at the engine, and refusals for failed calls to it.
 
 use std::{sync, time};
 
@@ -9,46 +9,48 @@
 
 use crate::agent;
 
-const CANCEL_LIMIT: time::Duration = time::Duration::from_secs(1);
-const CANCEL_PAUSE: time::Duration = time::Duration::from_millis(200);
-const CANCEL_TRIES: u32 = 50;
+const CANCEL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+const CANCEL_RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
+const MAX_CANCEL_ATTEMPTS: u32 = 50;
 
-/// Name of a run at the engine.
-pub(crate) fn run_name(run: ids::RunId) -> String {
+/// Id of a run at the engine: 32 hexadecimal digits.
+pub(crate) fn run_id(run: ids::RunId) -> String {
     format!("{run:032x}")
 }
 
-/// Cancels a run at the engine, repeatedly until the engine confirms it.
+/// Cancels a run at the engine in the background, with a limited number of attempts until it is
+/// confirmed.
 ///
-/// Plain servers take no such order; closing the connection is all that they are told.
+/// Plain servers have no such call; for them, closing the connection is the only signal.
 pub(crate) fn cancel(agent: &sync::Arc<agent::Agent>, run: ids::RunId) {
     let role = agent.lock().assignment(&agent.settings.server).map(|(_, role)| role);
     if role == Some(list::Role::Plain) {
         return;
     }
     let agent = agent.clone();
-    tokio::spawn(async move { cancel_id(&agent, Some(run_name(run))).await });
+    tokio::spawn(async move { cancel_id(&agent, Some(run_id(run))).await });
 }
 
-/// Cancels everything that an earlier agent left behind at the engine.
+/// Cancels all runs that an earlier agent left at the engine.
 pub(crate) async fn cancel_all(agent: &agent::Agent) {
     cancel_id(agent, None).await;
 }
 
+// Cancels one run, or all without an id.
 async fn cancel_id(agent: &agent::Agent, id: Option<String>) {
     let url = format!("{}/cancel", agent.settings.engine);
-    for _ in 0..CANCEL_TRIES {
-        let reply = agent.client.post_json(&url, &json!({ "id": id }), CANCEL_LIMIT).await;
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
+        let reply = agent.client.post_json(&url, &json!({ "id": id }), CANCEL_TIMEOUT).await;
         if reply.is_ok_and(|reply| reply.status.is_success()) {
             return;
         }
-        tokio::time::sleep(CANCEL_PAUSE).await;
+        tokio::time::sleep(CANCEL_RETRY_DELAY).await;
     }
-    tracing::warn!("agent: engine confirmed no cancel; check that it answers");
+    tracing::warn!("agent: engine did not confirm a cancellation; check that it responds");
 }
 
-/// Refusal for a call that failed.
-pub(crate) fn describe(err: &client::CallError) -> rhubarb_core::outcome::Refusal {
+/// Refusal for a failed call; the outcome is unknown if the engine may have received it.
+pub(crate) fn to_refusal(err: &client::CallError) -> rhubarb_core::outcome::Refusal {
     use rhubarb_core::outcome::{Reason, Refusal};
     let retry = time::Duration::from_secs(1);
     match err {
--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -36,7 +36,7 @@
     let limit = time::Duration::from_millis(offer.limit_ms);
     let whole = async {
         let reply = agent.client.send(request, limit).await;
-        let (head, body) = reply.map_err(|err| engine::describe(&err))?.into_parts();
+        let (head, body) = reply.map_err(|err| engine::to_refusal(&err))?.into_parts();
         output.set_head(head.status.as_u16(), copy_headers(&head.headers));
         copy_body(body, output).await
     };
--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -33,12 +33,12 @@
     }
     agent.metrics.runs.inc();
     let url = format!("{}/prefill", agent.settings.engine);
-    let content = json!({ "id": engine::run_name(order.run), "prompt": order.prompt });
+    let content = json!({ "id": engine::run_id(order.run), "prompt": order.prompt });
     let limit = time::Duration::from_millis(order.limit_ms);
     let begun = clock::now();
     let reply = agent.client.post_json(&url, &content, limit).await;
     let took = clock::now() - begun;
-    let reply = reply.map_err(|err| engine::describe(&err))?;
+    let reply = reply.map_err(|err| engine::to_refusal(&err))?;
     // A prefill has no effect that a caller sees, so a failed one counts as not run.
     let failed = Refusal::not_run(Reason::EngineFailed, RETRY_SOON);
     if reply.status != StatusCode::OK {
