--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -1,4 +1,4 @@
-//! Runs a plain call at the backend server.
+//! Runs a plain request at the backend server.
 
 use std::time;
 
@@ -15,16 +15,16 @@
 use outcome::{RETRY_SOON, Reason, Refusal};
 
 /// Header with the agent's fencing number.
-const FENCE: &str = "rhubarb-fence";
+const FENCE_HEADER: &str = "rhubarb-fence";
 
-/// Makes a plain call and writes its answer to `output`.
+/// Sends a plain request and writes the response to `output`.
 pub(crate) async fn call(
     agent: &agent::Agent,
     offer: offer::Offer,
     output: &output::Output,
 ) -> Result<(), Refusal> {
     let request = build(agent, &offer).map_err(|err| {
-        tracing::warn!("agent: call cannot be built: {err}");
+        tracing::warn!("agent: request cannot be built: {err}");
         Refusal::never(Reason::BadRequest)
     })?;
     {
@@ -34,14 +34,14 @@
     }
     agent.metrics.runs.inc();
     let limit = time::Duration::from_millis(offer.limit_ms);
-    let whole = async {
+    let exchange = async {
         let reply = agent.client.send(request, limit).await;
         let (head, body) = reply.map_err(|err| engine::to_refusal(&err))?.into_parts();
         output.set_head(head.status.as_u16(), copy_headers(&head.headers));
         copy_body(body, output).await
     };
-    let silent = Refusal::unknown(Reason::EngineSilent, RETRY_SOON);
-    tokio::time::timeout(limit, whole).await.unwrap_or(Err(silent))
+    let timed_out = Refusal::unknown(Reason::EngineSilent, RETRY_SOON);
+    tokio::time::timeout(limit, exchange).await.unwrap_or(Err(timed_out))
 }
 
 fn build(
@@ -51,26 +51,26 @@
     let url = format!("{}{}", agent.settings.engine, offer.target);
     let method = hyper::Method::from_bytes(offer.method.as_bytes())?;
     let mut request = client::request(method, &url, offer.body.clone().into())?;
-    for copied in &offer.headers {
-        let name = header::HeaderName::from_bytes(copied.name.as_bytes())?;
-        let value = header::HeaderValue::from_bytes(&copied.value)?;
+    for header in &offer.headers {
+        let name = header::HeaderName::from_bytes(header.name.as_bytes())?;
+        let value = header::HeaderValue::from_bytes(&header.value)?;
         request.headers_mut().append(name, value);
     }
     let state = agent.lock();
     let is_fenced =
         state.assignment(&agent.settings.server).is_some_and(|(service, _)| service.fenced);
     if is_fenced {
-        request.headers_mut().insert(FENCE, header::HeaderValue::from(state.fence));
+        request.headers_mut().insert(FENCE_HEADER, header::HeaderValue::from(state.fence));
     }
     Ok(request)
 }
 
 fn copy_headers(headers: &hyper::HeaderMap) -> Vec<offer::Header> {
-    let copied = headers.iter().map(|(name, value)| offer::Header {
+    let copies = headers.iter().map(|(name, value)| offer::Header {
         name: name.as_str().to_string(),
         value: value.as_bytes().to_vec(),
     });
-    copied.collect()
+    copies.collect()
 }
 
 async fn copy_body(mut body: body::Incoming, output: &output::Output) -> Result<(), Refusal> {
