--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -14,6 +14,7 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
+/// Response of the engine to a prefill.
 #[derive(Deserialize)]
 struct Reply {
     source: String,
@@ -21,41 +22,42 @@
     tokens: u32,
 }
 
-/// Has the engine read a prompt.
+/// Prefills a prompt at the engine.
 pub(crate) async fn call(
     agent: &agent::Agent,
-    order: message::Prefill,
+    request: message::Prefill,
 ) -> Result<message::Prefilled, Refusal> {
     {
         let mut state = agent.lock();
-        state.slots.claim(order.run);
-        state.gate.start(order.run, clock::now())?;
+        state.slots.claim(request.run);
+        state.gate.start(request.run, clock::now())?;
     }
     agent.metrics.runs.inc();
     let url = format!("{}/prefill", agent.settings.engine);
-    let content = json!({ "id": engine::run_id(order.run), "prompt": order.prompt });
-    let limit = time::Duration::from_millis(order.limit_ms);
-    let begun = clock::now();
+    let content = json!({ "id": engine::run_id(request.run), "prompt": request.prompt });
+    let limit = time::Duration::from_millis(request.limit_ms);
+    let start = clock::now();
     let reply = agent.client.post_json(&url, &content, limit).await;
-    let took = clock::now() - begun;
+    let elapsed = clock::now() - start;
     let reply = reply.map_err(|err| engine::to_refusal(&err))?;
-    // A prefill has no effect that a caller sees, so a failed one counts as not run.
+    // A prefill has no effect visible to the caller, so a failed one counts as not run.
     let failed = Refusal::not_run(Reason::EngineFailed, RETRY_SOON);
     if reply.status != StatusCode::OK {
         return Err(failed);
     }
     let reply: Reply = serde_json::from_slice(&reply.body).map_err(|_| failed)?;
     let Reply { source, handle, tokens } = reply;
-    let work = learn(agent, order.prompt.len() as u32, took);
+    let work = update_pace(agent, request.prompt.len() as u32, elapsed);
     let work_us = work.as_micros() as u64;
-    Ok(message::Prefilled { run: order.run, source, handle, tokens, work_us })
+    Ok(message::Prefilled { run: request.run, source, handle, tokens, work_us })
 }
 
-// Prompts that an engine works on at the same time share its speed.
-fn learn(agent: &agent::Agent, size: u32, took: time::Duration) -> time::Duration {
+// Updates the estimate of the engine's pace and returns the work of this prompt. Concurrent prompts
+// share the engine's speed, so the elapsed time is divided by their number.
+fn update_pace(agent: &agent::Agent, size: u32, elapsed: time::Duration) -> time::Duration {
     let mut state = agent.lock();
-    let sharing = state.slots.load(clock::now()).held.max(1);
-    let work = took / sharing;
+    let concurrent = state.slots.load(clock::now()).held.max(1);
+    let work = elapsed / concurrent;
     state.pace.learn(size, work);
     work
 }
