--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! State of the agent and the rules for changing it.
+//! State and metrics of the agent.
 
 use std::{collections, sync, time};
 
@@ -11,16 +11,18 @@
 
 use crate::{job, model, output, settings};
 
-/// One agent.
+/// Agent of one backend server.
 #[derive(Debug)]
 pub(crate) struct Agent {
     pub(crate) settings: settings::Settings,
+    /// Random id of this process.
     pub(crate) incarnation: ids::Incarnation,
+    /// Start of this process, the zero of the agent's clock.
     pub(crate) started: time::Instant,
     pub(crate) client: client::Client,
     pub(crate) table: table::Table,
     pub(crate) objects: objects::Objects,
-    pub(crate) metrics: Counters,
+    pub(crate) metrics: AgentMetrics,
     /// Notified to poll the table for a new list.
     pub(crate) poll_requested: lock::Notify,
     /// Notified after a new list was applied.
@@ -28,7 +30,7 @@
     state: sync::Mutex<State>,
 }
 
-/// What changes while the agent runs.
+/// Mutable state of the agent.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
@@ -49,25 +51,27 @@
     pub(crate) depends_ready: bool,
     /// Whether the runs that an earlier agent left at the engine were cancelled.
     pub(crate) engine_cleared: bool,
-    /// Fencing number; zero until the table has given one.
+    /// Fencing number; zero until this process is registered.
     pub(crate) fence: u64,
-    /// Whether the table knows of this process.
+    /// Whether this process is registered in the table.
     pub(crate) registered: bool,
     /// Whether the table had no row for this server before: no earlier process registered.
     pub(crate) first_process: bool,
+    /// Responses of runs with a record, for resumption and for repeated keys.
     pub(crate) outputs: collections::BTreeMap<ids::RunId, sync::Arc<output::Output>>,
-    /// Bytes of the answers to idempotency keys in `outputs`.
+    /// Bytes in `outputs` that are kept for idempotency keys.
     pub(crate) kept_bytes: usize,
     /// Jobs that wait for a slot.
     pub(crate) queued: collections::BTreeMap<ids::RunId, job::QueuedJob>,
-    /// Live links to entries.
+    /// Queues to the connected entries, by link.
     pub(crate) links: collections::BTreeMap<u64, job::Sender>,
+    /// Tasks of the started runs.
     pub(crate) tasks: collections::BTreeMap<ids::RunId, task::AbortHandle>,
 }
 
 /// Metrics of the agent.
 #[derive(Debug)]
-pub(crate) struct Counters {
+pub(crate) struct AgentMetrics {
     pub(crate) registry: metrics::Metrics,
     pub(crate) refused: metrics::ReasonFamily,
     pub(crate) runs: counter::Counter,
@@ -78,14 +82,17 @@
     pub(crate) keys: gauge::Gauge,
 }
 
+/// Time after the loss of contact until a run is cancelled as an orphan.
 const ORPHAN_GRACE: time::Duration = time::Duration::from_secs(2);
-const RESERVATION: time::Duration = time::Duration::from_secs(5);
-const WINDOW: time::Duration = time::Duration::from_secs(600);
+/// Time after which an unclaimed reservation of a slot expires.
+const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Window for key records until the service list sets that of the service.
+const INITIAL_WINDOW: time::Duration = time::Duration::from_secs(600);
 
-impl Counters {
-    fn new() -> Counters {
+impl AgentMetrics {
+    fn new() -> AgentMetrics {
         let registry = metrics::Metrics::new("rhubarb_agent");
-        Counters {
+        AgentMetrics {
             refused: registry.reason_counter("refused", "Runs refused or failed, by reason"),
             runs: registry.counter("runs", "Runs handed to the backend server"),
             cancelled: registry.counter("cancelled", "Runs cancelled by their entry"),
@@ -103,13 +110,13 @@
         let now = clock::now();
         let client = client::Client::new();
         let limits = gate::Limits {
-            window: WINDOW,
+            window: INITIAL_WINDOW,
             max_keys: settings.max_keys,
             orphan_grace: ORPHAN_GRACE,
         };
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
-            slots: slots::Slots::new(0, settings.queue, RESERVATION),
+            slots: slots::Slots::new(0, settings.queue, RESERVATION_TIMEOUT),
             pace: pace::Pace::default(),
             revisions: revisions::Revisions::default(),
             gone_servers: collections::BTreeSet::new(),
@@ -134,7 +141,7 @@
             table: table::Table::new(client.clone(), &settings.platform.table),
             objects: objects::Objects::new(client.clone(), &settings.platform.objects),
             client,
-            metrics: Counters::new(),
+            metrics: AgentMetrics::new(),
             poll_requested: lock::Notify::new(),
             list_applied: lock::Notify::new(),
             state: sync::Mutex::new(state),
@@ -146,12 +153,12 @@
         locks::lock(&self.state)
     }
 
-    /// Moment at which this agent's clock shows `clock_ms`.
-    pub(crate) fn at(&self, clock_ms: u64) -> time::Instant {
+    /// Instant of `clock_ms` milliseconds on this agent's clock.
+    pub(crate) fn instant_at(&self, clock_ms: u64) -> time::Instant {
         self.started + time::Duration::from_millis(clock_ms)
     }
 
-    /// Sign of life with the present load.
+    /// Response to a ping, with the current list version and load.
     pub(crate) fn pong(&self, seq: u64) -> message::Pong {
         let state = self.lock();
         message::Pong {
@@ -162,14 +169,14 @@
         }
     }
 
-    /// Counts a refusal.
-    pub(crate) fn count(&self, refusal: outcome::Refusal) {
+    /// Counts a refusal in the metrics, by reason.
+    pub(crate) fn count_refusal(&self, refusal: outcome::Refusal) {
         self.metrics.refused.get_or_create(&metrics::reason_labels(refusal.reason)).inc();
     }
 }
 
 impl State {
-    /// Load to report.
+    /// Load report.
     pub(crate) fn load(&self) -> load::Load {
         load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
@@ -194,27 +201,27 @@
         }
     }
 
-    /// Service of `server`.
+    /// Service of `server` in the current list.
     pub(crate) fn service(&self, server: &str) -> Option<sync::Arc<list::Service>> {
         let list = &self.revisions.current().list;
         list.services.values().find(|service| service.role(server).is_some()).cloned()
     }
 
-    /// Drops the answer of a run whose record is gone.
+    /// Drops the response of a run whose record was dropped.
     pub(crate) fn drop_output(&mut self, run: ids::RunId) {
         if let Some(output) = self.outputs.remove(&run) {
             self.kept_bytes -= output.kept_bytes();
         }
     }
 
-    /// Counts the answer of a run as kept for its key.
+    /// Counts the response of a run as kept for its key.
     pub(crate) fn keep_output(&mut self, run: ids::RunId) {
         if let Some(output) = self.outputs.get(&run) {
             self.kept_bytes += output.mark_kept();
         }
     }
 
-    /// Whether nothing runs and nothing waits.
+    /// Whether there is no open run, queued or started.
     pub(crate) fn is_idle(&self) -> bool {
         self.gate.open_runs() == 0
     }
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -54,7 +54,7 @@
         Job::Prefill(prefill) => (None, prefill.start_by_ms, true),
         Job::Reserve(reserve) => (reserve.key, reserve.start_by_ms, true),
     };
-    gate::Offer { run: job.run(), key, start_by: agent.at(start_by_ms), cancellable }
+    gate::Offer { run: job.run(), key, start_by: agent.instant_at(start_by_ms), cancellable }
 }
 
 fn admit(agent: &Shared, state: &mut agent::State, job: &Job) -> Admission {
@@ -93,12 +93,12 @@
     let (excess, work, wait_by) = match job {
         Job::Plain(offer) => (offer.excess, time::Duration::ZERO, start_by),
         Job::Reserve(reserve) => {
-            (reserve.excess, time::Duration::ZERO, agent.at(reserve.wait_by_ms))
+            (reserve.excess, time::Duration::ZERO, agent.instant_at(reserve.wait_by_ms))
         }
         Job::Prefill(prefill) => {
             let work = state.pace.estimate(prefill.prompt.len() as u32);
             let due = pace::Due {
-                first_token: agent.at(prefill.due_ms),
+                first_token: agent.instant_at(prefill.due_ms),
                 max_wait: time::Duration::from_millis(prefill.max_wait_ms),
             };
             (prefill.excess, work, due.start_by(work, now).min(start_by))
@@ -312,7 +312,7 @@
     }
     drop(state);
     if let Err(refusal) = result {
-        agent.count(refusal);
+        agent.count_refusal(refusal);
     }
     if let Some(output) = output {
         output.finish(match result {
@@ -343,7 +343,7 @@
     let queued = state.queued.remove(&run);
     state.gate.withdraw(run, clock::now());
     drop(state);
-    agent.count(refusal);
+    agent.count_refusal(refusal);
     if let Some(queued) = queued {
         let refused = message::Refused { run, refusal };
         spawn_send(&queued.sender, message::ToEntry::Refused(refused));
@@ -351,7 +351,7 @@
 }
 
 fn refuse(agent: &Shared, run: ids::RunId, refusal: Refusal, sender: &Sender) {
-    agent.count(refusal);
+    agent.count_refusal(refusal);
     spawn_send(sender, message::ToEntry::Refused(message::Refused { run, refusal }));
 }
 
