--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -49,7 +49,8 @@
     pub(crate) model: Option<model::Model>,
     /// Whether an entry has reported that the services this one depends on are ready.
     pub(crate) depends_ready: bool,
-    /// Whether the runs that an earlier agent left at the engine were cancelled.
+    /// Whether the runs that an earlier agent left at the engine were cancelled; also true after
+    /// the last failed attempt.
     pub(crate) engine_cleared: bool,
     /// Fencing number; zero until this process is registered.
     pub(crate) fence: u64,
