--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -9,42 +9,43 @@
 /// Settings of one agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Server beside which the agent runs.
+    /// Name of the backend server that the agent serves.
     pub server: ids::ServerName,
-    /// Availability zone.
+    /// Availability zone of the agent.
     pub zone: ids::ZoneName,
-    /// Address for entries, TCP and UDP.
+    /// Address for links from entries (TCP) and their heartbeats (UDP).
     pub listen: net::SocketAddr,
-    /// Address for metrics and health.
+    /// Address of the HTTP server for metrics, health and drain.
     pub http: net::SocketAddr,
-    /// URL of the backend server.
+    /// Base URL of the backend server.
     pub engine: String,
-    /// Requests that a prefill engine works on at once.
+    /// Slots of a prefill engine: prompts that it works on at once.
     pub prefills: u32,
-    /// Most requests that wait at the agent.
+    /// Maximum number of requests queued at the agent.
     pub queue: usize,
-    /// Most idempotency keys remembered.
+    /// Maximum number of key records.
     pub max_keys: usize,
-    /// Most bytes of answers to idempotency keys kept.
+    /// Bytes of responses kept for idempotency keys above which new keys are refused.
     pub max_answers: usize,
-    /// Longest time to drain on a stop.
+    /// Maximum duration of the drain after a stop signal.
     pub drain: time::Duration,
-    /// Time after a stop signal during which entries learn that the agent leaves.
+    /// Minimum duration of the drain, in which entries receive reports that the agent is leaving.
     pub notice: time::Duration,
-    /// Shared keys.
+    /// Shared keys of the deployment, for signatures.
     pub keys: auth::Keys,
-    /// Platform.
+    /// Base URLs of the platform's services.
     pub platform: shared_settings::PlatformUrls,
-    /// Logs.
+    /// Log format and level.
     pub log: logs::Options,
 }
 
-const PREFILLS: u32 = 2;
-const QUEUE: usize = 64;
-const MAX_KEYS: usize = 100_000;
-const MAX_ANSWERS: usize = 64 * 1024 * 1024;
-const DRAIN: time::Duration = time::Duration::from_secs(120);
-const NOTICE: time::Duration = time::Duration::from_millis(1500);
+const DEFAULT_PREFILLS: u32 = 2;
+const DEFAULT_QUEUE: usize = 64;
+const DEFAULT_MAX_KEYS: usize = 100_000;
+/// In bytes.
+const DEFAULT_MAX_ANSWERS: usize = 64 * 1024 * 1024;
+const DEFAULT_DRAIN: time::Duration = time::Duration::from_secs(120);
+const DEFAULT_NOTICE: time::Duration = time::Duration::from_millis(1500);
 
 /// Reads the settings file at `path`.
 ///
@@ -69,19 +70,19 @@
     let listen = settings::address(&mut section, "listen");
     let http = settings::address(&mut section, "http");
     let engine = settings::url(&mut section, "engine");
-    let whole = "a whole number";
-    let prefills = section.parsed("prefills", PREFILLS, whole);
-    let queue = section.parsed("queue", QUEUE, whole);
-    let max_keys = section.parsed("max_keys", MAX_KEYS, whole);
-    let max_answers = section.parsed("max_answers", MAX_ANSWERS, whole);
-    let drain = section.duration("drain", DRAIN);
-    let notice = section.duration("notice", NOTICE);
+    let expected = "a whole number";
+    let prefills = section.parsed("prefills", DEFAULT_PREFILLS, expected);
+    let queue = section.parsed("queue", DEFAULT_QUEUE, expected);
+    let max_keys = section.parsed("max_keys", DEFAULT_MAX_KEYS, expected);
+    let max_answers = section.parsed("max_answers", DEFAULT_MAX_ANSWERS, expected);
+    let drain = section.duration("drain", DEFAULT_DRAIN);
+    let notice = section.duration("notice", DEFAULT_NOTICE);
     let keys = shared_settings::read_keys(&mut section);
     file.close(section);
     let platform = shared_settings::PlatformUrls::read(&mut file);
     let log = shared_settings::read_log(&mut file);
     file.finish()?;
-    let keys = keys.expect("a missing key is a mistake");
+    let keys = keys.expect("`finish` reports missing keys");
     Ok(Settings {
         server,
         zone,
