--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -6,7 +6,7 @@
 
 use crate::{agent, heartbeats, http, link, lists, model_loader, registration, settings, sweep};
 
-const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
+const DRAIN_POLL_PERIOD: time::Duration = time::Duration::from_millis(20);
 
 /// Runs an agent until a stop signal, then drains it.
 ///
@@ -14,10 +14,10 @@
 /// Returns an error if an address cannot be bound or signals cannot be caught.
 pub async fn run(settings: settings::Settings) -> anyhow::Result<()> {
     let (listener, udp) = server::bind_tcp_and_udp(settings.listen).await?;
-    let web = server::bind(settings.http).await?;
-    println!("listening http={} peer={}", web.local_addr()?, listener.local_addr()?);
+    let http_listener = server::bind(settings.http).await?;
+    println!("listening http={} peer={}", http_listener.local_addr()?, listener.local_addr()?);
     let agent = sync::Arc::new(agent::Agent::new(settings));
-    tracing::info!("agent: started beside {}", agent.settings.server);
+    tracing::info!("agent: started for server {}", agent.settings.server);
     tokio::spawn(registration::register(agent.clone()));
     tokio::spawn(lists::follow(agent.clone()));
     tokio::spawn(model_loader::run(agent.clone()));
@@ -25,7 +25,7 @@
     tokio::spawn(sweep::run(agent.clone()));
     tokio::spawn(link::serve(agent.clone(), listener));
     let shared = agent.clone();
-    tokio::spawn(server::serve(web, server::Limits::default(), move |request| {
+    tokio::spawn(server::serve(http_listener, server::Limits::default(), move |request| {
         http::handle(shared.clone(), request)
     }));
     signals::wait_for_stop().await?;
@@ -33,20 +33,21 @@
     Ok(())
 }
 
+// Refuses new runs and waits for open ones, then hands the key records over.
 async fn drain(agent: &agent::Agent) {
-    tracing::info!("agent: stopping; open runs end first");
+    tracing::info!("agent: stopping; waiting for open runs");
     agent.lock().gate.leave();
     let start = clock::now();
     let limit = agent.settings.drain;
     loop {
-        let waited = clock::now() - start;
-        if waited >= limit || (waited >= agent.settings.notice && agent.lock().is_idle()) {
+        let elapsed = clock::now() - start;
+        if elapsed >= limit || (elapsed >= agent.settings.notice && agent.lock().is_idle()) {
             break;
         }
-        tokio::time::sleep(DRAIN_STEP).await;
+        tokio::time::sleep(DRAIN_POLL_PERIOD).await;
     }
     if let Err(err) = registration::hand_over(agent).await {
-        tracing::warn!("agent: key records not handed over: {err}");
+        tracing::warn!("agent: handover of key records failed: {err}");
     }
     tracing::info!("agent: stopped");
 }
