--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -1,4 +1,4 @@
-//! Metrics, health and drain by HTTP.
+//! HTTP server for metrics, health, status and drain.
 
 use std::sync;
 
@@ -9,7 +9,7 @@
 
 use crate::agent;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle(
     agent: sync::Arc<agent::Agent>,
     request: Request<body::Incoming>,
@@ -29,7 +29,7 @@
         return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
     agent.lock().gate.leave();
-    tracing::info!("agent: an operator asked it to leave");
+    tracing::info!("agent: draining at the request of an operator");
     response::text(StatusCode::OK, "draining\n")
 }
 
