--- a/crates/agent/src/sweep.rs
+++ b/crates/agent/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Periodic work: expiry of reservations, orphans and records.
+//! Periodic sweep: expires queued jobs, reservations and records, cancels orphans and grants slots.
 
 use std::{sync, time};
 
@@ -6,11 +6,11 @@
 
 use crate::{agent, jobs};
 
-const PERIOD: time::Duration = time::Duration::from_millis(20);
+const SWEEP_PERIOD: time::Duration = time::Duration::from_millis(20);
 
 /// Sweeps until the task is dropped.
 pub(crate) async fn run(agent: sync::Arc<agent::Agent>) {
-    let mut ticks = tokio::time::interval(PERIOD);
+    let mut ticks = tokio::time::interval(SWEEP_PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
