--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,4 @@
-//! Gate beside one backend server: the only way to it.
+//! Agent beside one backend server; all requests to the server go through it.
 //!
 //! ```
 //! use rhubarb_agent::settings;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the gate beside one backend server.
+//! Runs the agent of one backend server.
 
 use rhubarb_agent::settings;
 use rhubarb_node::{command, logs};
