--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -11,7 +11,7 @@
 const MAX_POLL_PERIOD: time::Duration = time::Duration::from_secs(30);
 /// Polls per window; an agent whose server was removed from the list must notice within the window.
 const POLLS_PER_WINDOW: u32 = 8;
-/// Period until the list assigns this server to a service.
+/// Poll period while the list assigns this server to no service.
 const INITIAL_POLL_PERIOD: time::Duration = time::Duration::from_secs(1);
 /// Mean delay before a requested poll.
 const REQUEST_DELAY: time::Duration = time::Duration::from_millis(300);
@@ -23,8 +23,8 @@
     agent.lock().revisions.version() < version
 }
 
-/// Requests the list from a random connected entry, or from the table if there is none or its
-/// queue is full.
+/// Requests the list from a random connected entry; polls the table if there is none or if its queue
+/// is full.
 pub(crate) fn request_list(agent: &agent::Agent) {
     let state = agent.lock();
     let version = state.revisions.version();
@@ -123,7 +123,9 @@
         let period = poll_period(&agent);
         tokio::select! {
             () = tokio::time::sleep(clock::jitter(period)) => {}
-            () = agent.poll_requested.notified() => tokio::time::sleep(clock::jitter(REQUEST_DELAY)).await,
+            () = agent.poll_requested.notified() => {
+                tokio::time::sleep(clock::jitter(REQUEST_DELAY)).await;
+            }
         }
     }
 }
