--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -227,7 +227,8 @@
     }
 }
 
-/// Resumes the response of a run; a run without one is withdrawn, so that it never starts later.
+/// Resumes the response of a run. A run without one is withdrawn: if it has not started, it never
+/// will.
 pub(crate) fn resume(agent: &Shared, resume: message::Resume, sender: &Sender) {
     let now = clock::now();
     let mut state = agent.lock();
