--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -25,7 +25,7 @@
     pub queue: usize,
     /// Maximum number of key records.
     pub max_keys: usize,
-    /// Bytes of responses kept for idempotency keys above which new keys are refused.
+    /// Bytes of responses kept for idempotency keys from which on further keys are refused.
     pub max_answers: usize,
     /// Maximum duration of the drain after a stop signal.
     pub drain: time::Duration,
@@ -42,7 +42,7 @@
 const DEFAULT_PREFILLS: u32 = 2;
 const DEFAULT_QUEUE: usize = 64;
 const DEFAULT_MAX_KEYS: usize = 100_000;
-/// In bytes.
+/// Default for `max_answers`, in bytes.
 const DEFAULT_MAX_ANSWERS: usize = 64 * 1024 * 1024;
 const DEFAULT_DRAIN: time::Duration = time::Duration::from_secs(120);
 const DEFAULT_NOTICE: time::Duration = time::Duration::from_millis(1500);
