--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -23,7 +23,7 @@
     agent.lock().revisions.version() < version
 }
 
-/// Requests the list from a random connected entry; polls the table if there is none or if its queue
+/// Requests the list from a random connected entry; polls the table if there is none or its queue
 /// is full.
 pub(crate) fn request_list(agent: &agent::Agent) {
     let state = agent.lock();
