--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! State of the agent and the rules for changing it.
+//! State and metrics of the agent.
 
 use std::{collections, sync, time};
 
@@ -9,59 +9,70 @@
 use rhubarb_node::{client, clock, instances, locks, metrics, objects, table};
 use rhubarb_wire::message;
 
-use crate::{job, loaded, output, settings};
+use crate::{job, model, output, settings};
 
-/// One agent.
+/// Agent of one backend server.
 #[derive(Debug)]
 pub(crate) struct Agent {
     pub(crate) settings: settings::Settings,
+    /// Random id of this process.
     pub(crate) incarnation: ids::Incarnation,
+    /// Start of this process, the zero of the agent's clock.
     pub(crate) started: time::Instant,
     pub(crate) client: client::Client,
     pub(crate) table: table::Table,
     pub(crate) objects: objects::Objects,
-    pub(crate) metrics: Counters,
-    pub(crate) list_wanted: lock::Notify,
-    pub(crate) list_taken: lock::Notify,
+    pub(crate) metrics: AgentMetrics,
+    /// Notified to poll the table for a new list.
+    pub(crate) poll_requested: lock::Notify,
+    /// Notified after a new list was applied.
+    pub(crate) list_applied: lock::Notify,
     state: sync::Mutex<State>,
 }
 
-/// What changes while the agent runs.
+/// Mutable state of the agent.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
-    pub(crate) rooms: slots::Slots,
+    pub(crate) slots: slots::Slots,
     pub(crate) pace: prefill_time::PrefillTime,
-    pub(crate) editions: revisions::Revisions,
-    pub(crate) gone: collections::BTreeSet<ids::ServerName>,
+    pub(crate) revisions: revisions::Revisions,
+    /// Listed servers that are missing from the instance list.
+    pub(crate) gone_servers: collections::BTreeSet<ids::ServerName>,
+    /// Last instance list.
     pub(crate) instances: Vec<instances::Instance>,
-    pub(crate) known: bool,
-    /// Whether the backend server can serve; it may run an older model until the new one is in.
+    /// Whether a service list has been applied.
+    pub(crate) has_list: bool,
+    /// Whether the backend server is ready; while a new model loads, it still serves the old one.
     pub(crate) loaded: bool,
-    /// What the engine runs.
-    pub(crate) running: Option<loaded::Loaded>,
-    /// Whether the services that this one depends on serve, as an entry says.
+    /// Model that the engine runs; `None` until this process has loaded one.
+    pub(crate) model: Option<model::Model>,
+    /// Whether an entry has reported that the services this one depends on are ready.
     pub(crate) depends_ready: bool,
-    /// Whether what an earlier agent left at the engine was cancelled.
-    pub(crate) swept: bool,
-    /// Fencing number; zero until the table has given one.
+    /// Whether the runs that an earlier agent left at the engine were cancelled; also true after
+    /// the last failed attempt.
+    pub(crate) engine_cleared: bool,
+    /// Fencing number; zero until this process is registered.
     pub(crate) fence: u64,
-    /// Whether the table knows of this process.
+    /// Whether this process is registered in the table.
     pub(crate) registered: bool,
-    /// Whether the table knew of no process of this server before.
-    pub(crate) first: bool,
+    /// Whether the table had no row for this server before: no earlier process registered.
+    pub(crate) first_process: bool,
+    /// Responses of runs with a record, for resumption and for repeated keys.
     pub(crate) outputs: collections::BTreeMap<ids::RunId, sync::Arc<output::Output>>,
-    /// Bytes of the answers to idempotency keys in `outputs`.
+    /// Bytes in `outputs` that are kept for idempotency keys.
     pub(crate) kept_bytes: usize,
-    pub(crate) waiting: collections::BTreeMap<ids::RunId, job::Waiting>,
-    /// Live links to entries.
+    /// Jobs that wait for a slot.
+    pub(crate) queued: collections::BTreeMap<ids::RunId, job::QueuedJob>,
+    /// Queues to the connected entries, by link.
     pub(crate) links: collections::BTreeMap<u64, job::Sender>,
+    /// Tasks of the started runs.
     pub(crate) tasks: collections::BTreeMap<ids::RunId, task::AbortHandle>,
 }
 
 /// Metrics of the agent.
 #[derive(Debug)]
-pub(crate) struct Counters {
+pub(crate) struct AgentMetrics {
     pub(crate) registry: metrics::Metrics,
     pub(crate) refused: metrics::ReasonFamily,
     pub(crate) runs: counter::Counter,
@@ -72,14 +83,17 @@
     pub(crate) keys: gauge::Gauge,
 }
 
+/// Time after the loss of contact until a run is cancelled as an orphan.
 const ORPHAN_GRACE: time::Duration = time::Duration::from_secs(2);
-const RESERVATION: time::Duration = time::Duration::from_secs(5);
-const WINDOW: time::Duration = time::Duration::from_secs(600);
+/// Time after which an unclaimed reservation of a slot expires.
+const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Window for key records until the service list sets that of the service.
+const INITIAL_WINDOW: time::Duration = time::Duration::from_secs(600);
 
-impl Counters {
-    fn new() -> Counters {
+impl AgentMetrics {
+    fn new() -> AgentMetrics {
         let registry = metrics::Metrics::new("rhubarb_agent");
-        Counters {
+        AgentMetrics {
             refused: registry.reason_counter("refused", "Runs refused or failed, by reason"),
             runs: registry.counter("runs", "Runs handed to the backend server"),
             cancelled: registry.counter("cancelled", "Runs cancelled by their entry"),
@@ -97,28 +111,28 @@
         let now = clock::now();
         let client = client::Client::new();
         let limits = gate::Limits {
-            window: WINDOW,
+            window: INITIAL_WINDOW,
             max_keys: settings.max_keys,
             orphan_grace: ORPHAN_GRACE,
         };
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
-            rooms: slots::Slots::new(0, settings.queue, RESERVATION),
+            slots: slots::Slots::new(0, settings.queue, RESERVATION_TIMEOUT),
             pace: prefill_time::PrefillTime::default(),
-            editions: revisions::Revisions::default(),
-            gone: collections::BTreeSet::new(),
+            revisions: revisions::Revisions::default(),
+            gone_servers: collections::BTreeSet::new(),
             instances: Vec::new(),
-            known: false,
+            has_list: false,
             loaded: false,
-            running: None,
+            model: None,
             depends_ready: false,
-            swept: false,
+            engine_cleared: false,
             fence: 0,
             registered: false,
-            first: false,
+            first_process: false,
             outputs: collections::BTreeMap::new(),
             kept_bytes: 0,
-            waiting: collections::BTreeMap::new(),
+            queued: collections::BTreeMap::new(),
             links: collections::BTreeMap::new(),
             tasks: collections::BTreeMap::new(),
         };
@@ -128,9 +142,9 @@
             table: table::Table::new(client.clone(), &settings.platform.table),
             objects: objects::Objects::new(client.clone(), &settings.platform.objects),
             client,
-            metrics: Counters::new(),
-            list_wanted: lock::Notify::new(),
-            list_taken: lock::Notify::new(),
+            metrics: AgentMetrics::new(),
+            poll_requested: lock::Notify::new(),
+            list_applied: lock::Notify::new(),
             state: sync::Mutex::new(state),
             settings,
         }
@@ -140,74 +154,75 @@
         locks::lock(&self.state)
     }
 
-    /// Moment at which this agent's clock shows `clock_ms`.
-    pub(crate) fn at(&self, clock_ms: u64) -> time::Instant {
+    /// Instant of `clock_ms` milliseconds on this agent's clock.
+    pub(crate) fn instant_at(&self, clock_ms: u64) -> time::Instant {
         self.started + time::Duration::from_millis(clock_ms)
     }
 
-    /// Sign of life with the present load.
+    /// Response to a ping, with the current list version and load.
     pub(crate) fn pong(&self, seq: u64) -> message::Pong {
         let state = self.lock();
         message::Pong {
             seq,
             clock_ms: clock::now().saturating_duration_since(self.started).as_millis() as u64,
-            version: state.editions.version(),
+            version: state.revisions.version(),
             load: state.load(),
         }
     }
 
-    /// Counts a refusal.
-    pub(crate) fn count(&self, refusal: outcome::Refusal) {
+    /// Counts a refusal in the metrics, by reason.
+    pub(crate) fn count_refusal(&self, refusal: outcome::Refusal) {
         self.metrics.refused.get_or_create(&metrics::reason_labels(refusal.reason)).inc();
     }
 }
 
 impl State {
-    /// Load to report.
+    /// Load report.
     pub(crate) fn load(&self) -> load::Load {
-        load::Load { leaving: self.gate.is_leaving(), ..self.rooms.load(clock::now()) }
+        load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
 
-    /// Service and role of `server`.
-    pub(crate) fn duty(&self, server: &str) -> Option<(&list::Service, list::Role)> {
-        self.editions.current().list.find_server(server)
+    /// Service and role of `server` in the current list.
+    pub(crate) fn assignment(&self, server: &str) -> Option<(&list::Service, list::Role)> {
+        self.revisions.current().list.find_server(server)
     }
 
-    /// Trusts the memory of the first process of a server that was listed lately.
+    /// Marks the key history as complete in the first process of a recently listed server.
     ///
-    /// A process that started while the table was down is not in it, and may run keys once it has
-    /// waited for the window after the server was listed; so later absence tells nothing.
-    pub(crate) fn trust_first(&mut self, server: &str) {
-        let Some(service) = self.service(server).filter(|_| self.first) else { return };
-        let listed = self.editions.current().listed_ago(server, clock::unix_ms());
+    /// A process that starts while the table is unavailable is not registered, but may run keys
+    /// once it has waited for the window after the listing of its server. A missing row is
+    /// therefore no proof for long: it counts for half the window after the listing.
+    pub(crate) fn mark_first_complete(&mut self, server: &str) {
+        let Some(service) = self.service(server).filter(|_| self.first_process) else { return };
+        let listed = self.revisions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
             self.gate.mark_history_complete();
-            self.first = false;
-            tracing::info!("agent: first process of its server; unknown keys do not wait");
+            self.first_process = false;
+            tracing::info!("agent: first process of its server; its key history is complete");
         }
     }
 
-    /// Service of `server`.
+    /// Service of `server` in the current list.
     pub(crate) fn service(&self, server: &str) -> Option<sync::Arc<list::Service>> {
-        let list = &self.editions.current().list;
+        let list = &self.revisions.current().list;
         list.services.values().find(|service| service.role(server).is_some()).cloned()
     }
 
-    /// Drops the answer of a run whose record is gone.
+    /// Drops the response of a run whose record was dropped.
     pub(crate) fn drop_output(&mut self, run: ids::RunId) {
         if let Some(output) = self.outputs.remove(&run) {
             self.kept_bytes -= output.kept_bytes();
         }
     }
 
-    /// Counts the answer of a run as kept for its key.
+    /// Counts the response of a run as kept for its key.
     pub(crate) fn keep_output(&mut self, run: ids::RunId) {
         if let Some(output) = self.outputs.get(&run) {
-            self.kept_bytes += output.keep();
+            self.kept_bytes += output.mark_kept();
         }
     }
 
-    /// Whether nothing runs and nothing waits.
+    /// Whether there is no open run, queued or started.
     pub(crate) fn is_idle(&self) -> bool {
         self.gate.open_runs() == 0
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,4 @@
-//! Gate beside one backend server: the only way to it.
+//! Agent beside one backend server; all requests to the server go through it.
 //!
 //! ```
 //! use rhubarb_agent::settings;
@@ -11,21 +11,21 @@
 pub mod settings;
 
 mod agent;
-mod beats;
-mod converge;
 mod decode;
 mod engine;
+mod heartbeats;
 mod http;
 mod job;
 mod jobs;
 mod link;
 mod lists;
-mod loaded;
+mod model;
+mod model_loader;
 mod output;
 mod plain;
 mod prefill;
+mod registration;
 mod run;
-mod slot;
 mod sweep;
 
 pub use run::run;
--- a/crates/agent/src/sweep.rs
+++ b/crates/agent/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Periodic work: expiry of reservations, orphans and records.
+//! Periodic sweep: expires queued jobs, reservations and records, cancels orphans and grants slots.
 
 use std::{sync, time};
 
@@ -6,11 +6,11 @@
 
 use crate::{agent, jobs};
 
-const PERIOD: time::Duration = time::Duration::from_millis(20);
+const SWEEP_PERIOD: time::Duration = time::Duration::from_millis(20);
 
 /// Sweeps until the task is dropped.
 pub(crate) async fn run(agent: sync::Arc<agent::Agent>) {
-    let mut ticks = tokio::time::interval(PERIOD);
+    let mut ticks = tokio::time::interval(SWEEP_PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -22,7 +22,7 @@
     let now = clock::now();
     agent.lock().gate.tick(now);
     loop {
-        let expired = agent.lock().rooms.next_expired(now);
+        let expired = agent.lock().slots.next_expired(now);
         let Some((run, refusal)) = expired else { break };
         jobs::expire(agent, run, refusal);
     }
@@ -37,8 +37,8 @@
         let Some(run) = state.gate.next_expired(now) else { break };
         state.drop_output(run);
     }
-    jobs::grant(agent);
+    jobs::grant_slots(agent);
     let state = agent.lock();
-    agent.metrics.held.set(i64::from(state.rooms.load(now).held));
+    agent.metrics.held.set(i64::from(state.slots.load(now).held));
     agent.metrics.keys.set(state.gate.key_count() as i64);
 }
