--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -89,13 +89,13 @@
 
 impl Open {
     pub(crate) fn new(edge: &sync::Arc<edge::Edge>) -> Open {
-        edge.open.fetch_add(1, atomic::Ordering::Relaxed);
+        edge.open_requests.fetch_add(1, atomic::Ordering::Relaxed);
         Open(edge.clone())
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, atomic::Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/duty.rs
@@ -50,7 +50,7 @@
 // The entry with the lowest address among those that hear one another takes the duty. The lease
 // decides where they do not agree.
 fn is_first(edge: &edge::Edge) -> bool {
-    let is_away = edge.away.load(atomic::Ordering::Relaxed) > 0;
+    let is_away = edge.unavailable_tables.load(atomic::Ordering::Relaxed) > 0;
     let ip = edge.settings().ip;
     let lowest = edge.members().live(clock::now()).min();
     edge.is_ready() && !is_away && lowest.is_none_or(|lowest| ip < lowest)
@@ -196,7 +196,7 @@
     let mut orders = edge.orders();
     orders.open.retain(|_, until| now < *until);
     orders.open.insert(id.to_string(), until);
-    edge.given.notify_one();
+    edge.commitments_changed.notify_one();
 }
 
 fn forget_changing(edge: &edge::Edge, service: &str, id: &str) {
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -19,28 +19,28 @@
     pub(crate) links: links::Links,
     pub(crate) counters: metrics::Counters,
     /// Decode memory may have become free.
-    pub(crate) room_freed: lock::Notify,
+    pub(crate) slot_freed: lock::Notify,
     /// What this entry has given to engines has changed.
-    pub(crate) given: lock::Notify,
+    pub(crate) commitments_changed: lock::Notify,
     /// A peer knows more than this entry.
-    pub(crate) behind: lock::Notify,
+    pub(crate) lag_detected: lock::Notify,
     /// The store's feeds tell nothing, though something has changed.
-    pub(crate) silent: lock::Notify,
+    pub(crate) feed_stalled: lock::Notify,
     /// Tables of the store that do not answer now.
-    pub(crate) away: atomic::AtomicU64,
-    pub(crate) open: atomic::AtomicU64,
+    pub(crate) unavailable_tables: atomic::AtomicU64,
+    pub(crate) open_requests: atomic::AtomicU64,
     pub(crate) dates: dates::Dates,
     ledger: sync::Mutex<usage::Ledger>,
     directory: sync::Mutex<directory::Directory>,
     members: sync::Mutex<members::Members>,
     orders: sync::Mutex<orders::Orders>,
     ahead: sync::Mutex<ahead::Ahead>,
-    seq: atomic::AtomicU64,
+    run_seq: atomic::AtomicU64,
     stopped_at: sync::OnceLock<time::Instant>,
 }
 
 /// The balancer stops sending within two of its checks, which come once a second.
-pub(crate) const NOTICE: time::Duration = time::Duration::from_millis(2_500);
+pub(crate) const BALANCER_DELAY: time::Duration = time::Duration::from_millis(2_500);
 
 impl Edge {
     pub(crate) fn new(settings: settings::Settings) -> Edge {
@@ -55,17 +55,17 @@
             store,
             links: links::Links::default(),
             counters: metrics::Counters::new(),
-            room_freed: lock::Notify::new(),
-            given: lock::Notify::new(),
-            behind: lock::Notify::new(),
-            silent: lock::Notify::new(),
-            away: atomic::AtomicU64::new(0),
-            open: atomic::AtomicU64::new(0),
+            slot_freed: lock::Notify::new(),
+            commitments_changed: lock::Notify::new(),
+            lag_detected: lock::Notify::new(),
+            feed_stalled: lock::Notify::new(),
+            unavailable_tables: atomic::AtomicU64::new(0),
+            open_requests: atomic::AtomicU64::new(0),
             directory: sync::Mutex::new(directory),
             members: sync::Mutex::default(),
             orders: sync::Mutex::default(),
             ahead: sync::Mutex::default(),
-            seq: atomic::AtomicU64::new(1),
+            run_seq: atomic::AtomicU64::new(1),
             stopped_at: sync::OnceLock::new(),
             settings: sync::Mutex::new(sync::Arc::new(settings)),
         }
@@ -107,7 +107,7 @@
 
     /// Id for a new run.
     pub(crate) fn next_run(&self) -> ids::RunId {
-        ids::run_id(self.incarnation, self.seq.fetch_add(1, atomic::Ordering::Relaxed))
+        ids::run_id(self.incarnation, self.run_seq.fetch_add(1, atomic::Ordering::Relaxed))
     }
 
     /// Whether the balancer may send new connections.
@@ -121,8 +121,8 @@
     }
 
     /// Whether the time for long requests before the end has passed.
-    pub(crate) fn is_ending(&self) -> bool {
-        self.stopped_at.get().is_some_and(|at| clock::now() >= *at + NOTICE)
+    pub(crate) fn is_out_of_rotation(&self) -> bool {
+        self.stopped_at.get().is_some_and(|at| clock::now() >= *at + BALANCER_DELAY)
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -50,7 +50,7 @@
     let Some(service) = route.service(rand::random()).cloned() else {
         return early(Refusal::not_run(Reason::NoServer, CONFIG_RETRY));
     };
-    if edge.is_ending() && matches!(route.kind, routing::Kind::Stream { .. }) {
+    if edge.is_out_of_rotation() && matches!(route.kind, routing::Kind::Stream { .. }) {
         return early(Refusal::not_run(Reason::Leaving, ELSEWHERE));
     }
     let limit = config.limits.body_bytes;
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -40,7 +40,7 @@
     let mut seq = 0;
     loop {
         // Either what has changed or nothing within the period.
-        let _ = tokio::time::timeout(TELL_PERIOD, edge.given.notified()).await;
+        let _ = tokio::time::timeout(TELL_PERIOD, edge.commitments_changed.notified()).await;
         tokio::time::sleep(TELL_PAUSE).await;
         seq += 1;
         let targets = note_members(&edge);
@@ -154,9 +154,9 @@
     let known = ahead::Known { config: share.config, servers: share.servers };
     if own.lacks(&known) {
         edge.ahead().note(from, known, &own, now);
-        edge.behind.notify_one();
+        edge.lag_detected.notify_one();
     }
-    edge.room_freed.notify_waiters();
+    edge.slot_freed.notify_waiters();
 }
 
 /// Sends what the store said to peers that ask.
@@ -194,7 +194,7 @@
 /// Fetches from peers what the store does not tell this entry.
 pub(crate) async fn fetch_snapshots(edge: sync::Arc<edge::Edge>) {
     loop {
-        edge.behind.notified().await;
+        edge.lag_detected.notified().await;
         // The store's own feed comes first where it works.
         tokio::time::sleep(FETCH_PERIOD).await;
         let own = edge.directory().known();
@@ -203,7 +203,7 @@
             if !edge.ahead().is_overdue(clock::now()) {
                 continue;
             }
-            edge.silent.notify_waiters();
+            edge.feed_stalled.notify_waiters();
         }
         let fetching = fetch(address(&edge, ip));
         match tokio::time::timeout(FETCH_LIMIT, fetching).await {
@@ -215,7 +215,7 @@
 }
 
 fn is_turned_away(edge: &edge::Edge) -> bool {
-    edge.away.load(atomic::Ordering::Relaxed) > 0
+    edge.unavailable_tables.load(atomic::Ordering::Relaxed) > 0
 }
 
 async fn fetch(from: net::SocketAddr) -> anyhow::Result<share::Snapshot> {
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -191,7 +191,7 @@
     let allowed = |id: &str| sound.iter().any(|other| *other == id);
     let (id, expected) = engines.pick_prefill(tokens, zone, allowed, rand::random(), now)?;
     service.engines.record_prefill(&id, tokens, now);
-    call.edge.given.notify_one();
+    call.edge.commitments_changed.notify_one();
     Some((directory.target(&id)?, expected))
 }
 
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -54,8 +54,8 @@
         let engines = &mut directory.service(&self.service).engines;
         engines.release(&self.target.id, self.run, clock::now());
         drop(directory);
-        self.edge.room_freed.notify_waiters();
-        self.edge.given.notify_one();
+        self.edge.slot_freed.notify_waiters();
+        self.edge.commitments_changed.notify_one();
     }
 }
 
@@ -120,7 +120,7 @@
     }
     let mut tried = tried.to_vec();
     loop {
-        let freed = call.edge.room_freed.notified();
+        let freed = call.edge.slot_freed.notified();
         while let Some(mut room) = take(call, place, need, &tried) {
             match reply.wait(hold(call, &mut room, need), call.deadline).await {
                 responder::WaitOutcome::Event(Held::Yes) => {
@@ -262,7 +262,7 @@
         return None;
     };
     let target = directory.target(&id)?;
-    call.edge.given.notify_one();
+    call.edge.commitments_changed.notify_one();
     let (edge, service) = (call.edge.clone(), call.service.clone());
     Some(Room { edge, service, target, run: place.run, hold: None })
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -98,11 +98,11 @@
     close: &lock::watch::Sender<bool>,
     serving: task::JoinHandle<()>,
 ) {
-    let open = || edge.open.load(atomic::Ordering::Relaxed);
+    let open = || edge.open_requests.load(atomic::Ordering::Relaxed);
     let start = clock::now();
     let most = edge.settings().grace.saturating_sub(LAST);
     tracing::info!(open = open(), "edge: stopping");
-    tokio::time::sleep(edge::NOTICE).await;
+    tokio::time::sleep(edge::BALANCER_DELAY).await;
     close.send_replace(true);
     let wait = async |taking: usize| {
         while clock::now() - start < most && (open() > 0 || close.receiver_count() > taking) {
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -24,7 +24,7 @@
 pub(crate) async fn follow(edge: sync::Arc<edge::Edge>, table: store::Table) {
     // Until the first answer the store counts as away, so that peers are asked.
     let mut contact = Contact { is_away: true, pause: PAUSE };
-    edge.away.fetch_add(1, atomic::Ordering::Relaxed);
+    edge.unavailable_tables.fetch_add(1, atomic::Ordering::Relaxed);
     loop {
         let err = match follow_once(&edge, table, &mut contact).await {
             Ok(()) => continue,
@@ -49,7 +49,7 @@
         self.pause = (self.pause * 2).min(MAX_PAUSE);
         if !self.is_away {
             self.is_away = true;
-            edge.away.fetch_add(1, atomic::Ordering::Relaxed);
+            edge.unavailable_tables.fetch_add(1, atomic::Ordering::Relaxed);
             tracing::warn!(?table, %err, "edge: store lost");
         }
     }
@@ -58,7 +58,7 @@
         self.pause = PAUSE;
         if self.is_away {
             self.is_away = false;
-            edge.away.fetch_sub(1, atomic::Ordering::Relaxed);
+            edge.unavailable_tables.fetch_sub(1, atomic::Ordering::Relaxed);
             tracing::info!(?table, version, "edge: store regained");
             let mut directory = edge.directory();
             if table == store::Table::Servers && directory.is_complete() {
@@ -84,7 +84,7 @@
     loop {
         let news = tokio::select! {
             news = edge.store.feed(table, version, FEED_WAIT) => news?,
-            () = edge.silent.notified() => {
+            () = edge.feed_stalled.notified() => {
                 tracing::info!(?table, version, "edge: peers know more, the store is asked again");
                 return Ok(());
             }
@@ -124,7 +124,7 @@
             _ => {}
         }
     }
-    edge.room_freed.notify_waiters();
+    edge.slot_freed.notify_waiters();
 }
 
 fn set_config(edge: &edge::Edge, value: &[u8]) {
