--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -5,7 +5,7 @@
 use rhubarb_core::{engines, fleet, ids, load, outcome, pool, queueing, repeat, returns, routing};
 use rhubarb_wire::share;
 
-use crate::{ahead, rows};
+use crate::{lag, rows};
 
 /// One service with its servers.
 #[derive(Debug)]
@@ -91,9 +91,9 @@
     }
 
     /// How much of the store is known.
-    pub(crate) fn known(&self) -> ahead::Known {
+    pub(crate) fn versions(&self) -> lag::Versions {
         let config = self.config.as_ref().map_or(0, |config| config.version);
-        ahead::Known { config, servers: self.rows.version }
+        lag::Versions { config, servers: self.rows.version }
     }
 
     /// What the store said, for a peer.
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::{client, clock, locks};
 use rhubarb_platform::{settings, store};
 
-use crate::{ahead, dates, directory, links, metrics, orders};
+use crate::{dates, directory, lag, links, metrics, orders};
 
 /// One entry.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     directory: sync::Mutex<directory::Directory>,
     members: sync::Mutex<members::Members>,
     orders: sync::Mutex<orders::Orders>,
-    ahead: sync::Mutex<ahead::Ahead>,
+    lag: sync::Mutex<lag::Lag>,
     run_seq: atomic::AtomicU64,
     stopped_at: sync::OnceLock<time::Instant>,
 }
@@ -64,7 +64,7 @@
             directory: sync::Mutex::new(directory),
             members: sync::Mutex::default(),
             orders: sync::Mutex::default(),
-            ahead: sync::Mutex::default(),
+            lag: sync::Mutex::default(),
             run_seq: atomic::AtomicU64::new(1),
             stopped_at: sync::OnceLock::new(),
             settings: sync::Mutex::new(sync::Arc::new(settings)),
@@ -100,9 +100,9 @@
         locks::lock(&self.orders)
     }
 
-    /// Peer that knows more than this entry.
-    pub(crate) fn ahead(&self) -> sync::MutexGuard<'_, ahead::Ahead> {
-        locks::lock(&self.ahead)
+    /// How far this entry lags behind its peers.
+    pub(crate) fn lag(&self) -> sync::MutexGuard<'_, lag::Lag> {
+        locks::lock(&self.lag)
     }
 
     /// Id for a new run.
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -10,7 +10,6 @@
 //! assert!(settings::parse("").is_err());
 //! ```
 
-mod ahead;
 mod boot;
 mod call;
 mod cleanup;
@@ -20,6 +19,7 @@
 mod edge;
 mod exchange;
 mod ingress;
+mod lag;
 mod ledger;
 mod links;
 mod metrics;
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -8,7 +8,7 @@
 use rhubarb_platform::store;
 use rhubarb_wire::share;
 
-use crate::{ahead, edge, links, watch};
+use crate::{edge, lag, links, watch};
 
 /// Peers are told at least this often, as a sign of life.
 const TELL_PERIOD: time::Duration = time::Duration::from_millis(300);
@@ -78,7 +78,7 @@
     let now = clock::now();
     let peers = edge.members().announced(seq, now);
     let mut directory = edge.directory();
-    let config = directory.known().config;
+    let config = directory.versions().config;
     let servers = directory.rows.newest;
     let own = directory.services().flat_map(|service| service.engines.commitments(now));
     let given =
@@ -149,11 +149,11 @@
     for (name, usage) in &share.usage {
         directory.service(name).engines.update_peer_usage(&share.name, *usage);
     }
-    let own = directory.known();
+    let own = directory.versions();
     drop(directory);
-    let known = ahead::Known { config: share.config, servers: share.servers };
-    if own.lacks(&known) {
-        edge.ahead().note(from, known, &own, now);
+    let versions = lag::Versions { config: share.config, servers: share.servers };
+    if own.lags_behind(&versions) {
+        edge.lag().record(from, versions, &own, now);
         edge.lag_detected.notify_one();
     }
     edge.slot_freed.notify_waiters();
@@ -197,10 +197,10 @@
         edge.lag_detected.notified().await;
         // The store's own feed comes first where it works.
         tokio::time::sleep(FETCH_PERIOD).await;
-        let own = edge.directory().known();
-        let Some(ip) = edge.ahead().address(&own) else { continue };
+        let own = edge.directory().versions();
+        let Some(ip) = edge.lag().address(&own) else { continue };
         if !is_turned_away(&edge) {
-            if !edge.ahead().is_overdue(clock::now()) {
+            if !edge.lag().check_stall(clock::now()) {
                 continue;
             }
             edge.feed_stalled.notify_waiters();
