--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/leader.rs
@@ -1,4 +1,6 @@
-//! Changes engines' stages, as one entry at a time under a lease in the platform's store.
+//! The leader task: changes the stages of engines.
+//!
+//! One entry at a time does it, under a lease in the platform's store.
 
 use std::{collections, sync, sync::atomic, time};
 
@@ -12,16 +14,16 @@
 
 use crate::{boot, directory, edge, exchange};
 
-/// The plan is looked at this often.
-const PERIOD: time::Duration = time::Duration::from_millis(500);
-/// Time for one call to the store or an engine.
-const CALL_LIMIT: time::Duration = time::Duration::from_millis(1_000);
-/// Time beyond the change itself for running work to end and the engine's entry to arrive.
-const CHANGE_SLACK: time::Duration = time::Duration::from_secs(5);
-/// Pause after a refused or lost lease.
-const BACK_OFF: time::Duration = time::Duration::from_secs(4);
+/// Interval between plans.
+const PLAN_PERIOD: time::Duration = time::Duration::from_millis(500);
+/// Timeout of a call to the store or an engine.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+/// Time added to the duration of a change, for running work to end and the engine's row to arrive.
+const CHANGE_MARGIN: time::Duration = time::Duration::from_secs(5);
+/// Pause after a lease was refused or lost, before jitter.
+const LEASE_BACKOFF: time::Duration = time::Duration::from_secs(4);
 
-/// Runs the duty for as long as the process runs.
+/// Plans and orders changes of stages while this entry is the leader; does not return.
 pub(crate) async fn run(edge: sync::Arc<edge::Edge>) {
     let settings = edge.settings();
     let holder = format!("{}/{}", settings.name, edge.incarnation);
@@ -29,17 +31,17 @@
     let mut planners: collections::BTreeMap<ids::ServiceName, stages::Planner> =
         collections::BTreeMap::new();
     loop {
-        tokio::time::sleep(PERIOD).await;
-        if !is_first(&edge) {
+        tokio::time::sleep(PLAN_PERIOD).await;
+        if !is_leader(&edge) {
             planners.clear();
             continue;
         }
         for (service, change) in plan(&edge, &mut planners) {
-            let Some(fence) = hold(&edge, &mut lease, &holder).await else {
-                tokio::time::sleep(clock::jitter(BACK_OFF)).await;
+            let Some(fence) = acquire_fence(&edge, &mut lease, &holder).await else {
+                tokio::time::sleep(clock::jitter(LEASE_BACKOFF)).await;
                 break;
             };
-            if !order(&edge, &service, &change, fence).await {
+            if !send_order(&edge, &service, &change, fence).await {
                 lease.lost();
                 break;
             }
@@ -47,13 +49,13 @@
     }
 }
 
-// The entry with the lowest address among those that hear one another takes the duty. The lease
-// decides where they do not agree.
-fn is_first(edge: &edge::Edge) -> bool {
-    let is_away = edge.unavailable_tables.load(atomic::Ordering::Relaxed) > 0;
+// Of the entries that receive one another's heartbeats, the one with the lowest address is the
+// leader. Where entries see different peers, the lease decides.
+fn is_leader(edge: &edge::Edge) -> bool {
+    let is_disconnected = edge.unavailable_tables.load(atomic::Ordering::Relaxed) > 0;
     let ip = edge.settings().ip;
     let lowest = edge.members().live(clock::now()).min();
-    edge.is_ready() && !is_away && lowest.is_none_or(|lowest| ip < lowest)
+    edge.is_ready() && !is_disconnected && lowest.is_none_or(|lowest| ip < lowest)
 }
 
 fn plan(
@@ -78,35 +80,39 @@
     changes
 }
 
-// Fencing number of the lease, taken or renewed where it is needed.
-async fn hold(edge: &edge::Edge, lease: &mut lease::Lease, holder: &str) -> Option<lease::Fence> {
+// Fencing number of the lease, which is acquired or renewed if necessary.
+async fn acquire_fence(
+    edge: &edge::Edge,
+    lease: &mut lease::Lease,
+    holder: &str,
+) -> Option<lease::Fence> {
     if let Some(fence) = lease.fence(boot::time()) {
         return Some(fence);
     }
-    match renew(edge, lease, holder).await {
+    match acquire_lease(edge, lease, holder).await {
         Ok(()) => lease.fence(boot::time()),
         Err(err) => {
-            tracing::warn!(%err, "edge: no lease to change stages");
+            tracing::warn!(%err, "edge: lease for changing stages not acquired");
             lease.lost();
             None
         }
     }
 }
 
-async fn renew(
+async fn acquire_lease(
     edge: &edge::Edge,
     lease: &mut lease::Lease,
     holder: &str,
 ) -> Result<(), store::StoreError> {
     let table = store::Table::Leases;
-    let rows = edge.store.read(table, None, CALL_LIMIT).await?;
+    let rows = edge.store.read(table, None, CALL_TIMEOUT).await?;
     let row = rows.rows.iter().find(|row| row.key == store::STAGES_LEASE);
     let version = row.map_or(0, |row| row.version);
     let value = row.and_then(|row| row.value.as_deref()).unwrap_or_default();
-    let other = String::from_utf8_lossy(value);
-    let seen = lease::Row { version, holder: &other };
+    let current = String::from_utf8_lossy(value);
+    let seen = lease::Row { version, holder: &current };
     if !lease.observe(seen, boot::time()) {
-        tracing::info!(holder = %other, version, "edge: another instance holds the lease");
+        tracing::info!(holder = %current, version, "edge: another instance holds the lease");
         return Ok(());
     }
     let sent_at = boot::time();
@@ -116,9 +122,9 @@
         expected: Some(version),
         value: holder.as_bytes(),
     };
-    match edge.store.write(write, CALL_LIMIT).await? {
+    match edge.store.write(write, CALL_TIMEOUT).await? {
         store::WriteOutcome::Committed(fence) => {
-            tracing::info!(fence, "edge: lease to change stages held");
+            tracing::info!(fence, "edge: lease for changing stages acquired");
             lease.acquired(fence, sent_at);
         }
         store::WriteOutcome::Conflict => lease.lost(),
@@ -126,8 +132,8 @@
     Ok(())
 }
 
-// Gives one order; false if the fencing number was refused.
-async fn order(
+// Sends one order; false if the engine rejected the fencing number.
+async fn send_order(
     edge: &edge::Edge,
     service: &str,
     change: &stages::Change,
@@ -138,19 +144,19 @@
     let state = call(edge, &target, engine::report_request(id)).await;
     let Some(state) = state.and_then(|read| read_state(id, &read)) else { return true };
     if state.is_busy || state.stage == Some(stage) {
-        tracing::info!(server = id, to = ?stage, busy = state.is_busy, "edge: no order needed");
+        tracing::info!(server = id, to = ?stage, busy = state.is_busy, "edge: order not needed");
         return true;
     }
     let (holder, orders) = (edge.settings().name.clone(), state.accepted_orders);
     let order =
         engine::StageOrder { engine: id, stage, holder: &holder, fence, expected_orders: orders };
-    note_changing(edge, service, id);
+    set_changing(edge, service, id);
     let status =
         call(edge, &target, engine::stage_request(&order)).await.map(|read| read.head.status());
     let code = status.map(|status| status.as_u16());
-    tracing::info!(server = id, to = ?stage, fence, orders, status = code, "edge: order given");
+    tracing::info!(server = id, to = ?stage, fence, orders, status = code, "edge: order sent");
     if status.is_some_and(|status| !status.is_success()) {
-        forget_changing(edge, service, id);
+        clear_changing(edge, service, id);
     }
     status != Some(StatusCode::PRECONDITION_FAILED)
 }
@@ -160,7 +166,7 @@
     match engine::read_report(body) {
         Ok(state) => Some(state),
         Err(err) => {
-            tracing::warn!(server = id, %err, "edge: engine's state unreadable");
+            tracing::warn!(server = id, %err, "edge: state of engine cannot be parsed");
             None
         }
     }
@@ -172,25 +178,25 @@
     request: Request<Full<Bytes>>,
 ) -> Option<exchange::Read> {
     let path = request.uri().path().to_string();
-    let calling = exchange::fetch(&edge.links, target.address, request);
-    match tokio::time::timeout(CALL_LIMIT, calling).await {
+    let response = exchange::fetch(&edge.links, target.address, request);
+    match tokio::time::timeout(CALL_TIMEOUT, response).await {
         Ok(Ok(read)) => Some(read),
         Ok(Err(err)) => {
             tracing::warn!(server = target.id, path, %err, "edge: engine not reached");
             None
         }
         Err(_) => {
-            tracing::warn!(server = target.id, path, "edge: engine did not answer in time");
+            tracing::warn!(server = target.id, path, "edge: engine did not respond in time");
             None
         }
     }
 }
 
-fn note_changing(edge: &edge::Edge, service: &str, id: &str) {
+fn set_changing(edge: &edge::Edge, service: &str, id: &str) {
     let now = clock::now();
     let mut directory = edge.directory();
     let switch = directory.switch_time(service);
-    let until = now + switch + CHANGE_SLACK;
+    let until = now + switch + CHANGE_MARGIN;
     directory.service(service).engines.set_changing(id, until);
     drop(directory);
     let mut orders = edge.orders();
@@ -199,7 +205,8 @@
     edge.commitments_changed.notify_one();
 }
 
-fn forget_changing(edge: &edge::Edge, service: &str, id: &str) {
+// After a rejected order the engine counts as changing only for the length of one more call.
+fn clear_changing(edge: &edge::Edge, service: &str, id: &str) {
     edge.orders().open.remove(id);
-    edge.directory().service(service).engines.set_changing(id, clock::now() + CALL_LIMIT);
+    edge.directory().service(service).engines.set_changing(id, clock::now() + CALL_TIMEOUT);
 }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -9,7 +9,7 @@
 
 use tokio::{sync as lock, task};
 
-use crate::{duty, edge, ingress, ledger, peers, reload, watch};
+use crate::{edge, ingress, leader, ledger, peers, reload, watch};
 
 /// Connections from callers at once; descriptors are left for servers and the store.
 const CONNECTIONS: usize = 2_000;
@@ -40,7 +40,7 @@
         tokio::spawn(watch::follow(edge.clone(), table));
     }
     tokio::spawn(watch::sweep(edge.clone()));
-    tokio::spawn(duty::run(edge.clone()));
+    tokio::spawn(leader::run(edge.clone()));
     tokio::spawn(reload::run(edge.clone(), signals::hangups()?));
     let (snapshots, shares) =
         server::bind_tcp_and_udp(peers::address(&edge, edge.settings().ip)).await?;
