--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -61,7 +61,7 @@
         sends: u32,
         reason: outcome::Reason,
     ) -> bool {
-        let taken = self.edge.directory().take_repeats(&self.service, sends, clock::now());
+        let taken = self.edge.directory().spend_repeats(&self.service, sends, clock::now());
         if taken {
             self.edge
                 .counters
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -23,9 +23,9 @@
     /// This one.
     Server(Target),
     /// At every server so many wait that the answer would be late.
-    Late,
+    Saturated,
     /// There is none.
-    None,
+    NoServer,
 }
 
 /// A server that was chosen.
@@ -44,10 +44,10 @@
     /// What the store said, as it said it.
     pub(crate) rows: rows::Rows,
     pub(crate) fleet: fleet::Fleet,
-    has_fleet: bool,
+    fleet_known: bool,
     services: collections::BTreeMap<ids::ServiceName, Service>,
     /// Entries that share the retry budget, this one included.
-    pub(crate) entries: u32,
+    pub(crate) entry_count: u32,
 }
 
 /// Servers that cannot be reached, time after time, are asked less and less often.
@@ -61,7 +61,7 @@
 ///
 /// Whether a server leaves is the store's to say; one that another has the address of is only
 /// left out for a while, until its entry changes.
-pub(crate) fn bad_end(reason: outcome::Reason) -> pool::ServerOutcome {
+pub(crate) fn failure_outcome(reason: outcome::Reason) -> pool::ServerOutcome {
     match reason {
         outcome::Reason::Leaving => pool::ServerOutcome::Failure(outcome::Reason::NoServer),
         reason => pool::ServerOutcome::Failure(reason),
@@ -69,7 +69,7 @@
 }
 
 /// Entries that are assumed until the others are known.
-const ASSUMED_ENTRIES: u32 = 8;
+const INITIAL_ENTRIES: u32 = 8;
 
 impl Directory {
     pub(crate) fn new(zone: &str, allowance: repeat::Allowance) -> Directory {
@@ -79,9 +79,9 @@
             config: None,
             rows: rows::Rows::default(),
             fleet: fleet::Fleet::default(),
-            has_fleet: false,
+            fleet_known: false,
             services: collections::BTreeMap::new(),
-            entries: ASSUMED_ENTRIES,
+            entry_count: INITIAL_ENTRIES,
         }
     }
 
@@ -107,7 +107,7 @@
 
     /// Whether both the config and the servers are known.
     pub(crate) fn is_complete(&self) -> bool {
-        self.config.is_some() && self.has_fleet
+        self.config.is_some() && self.fleet_known
     }
 
     /// Puts a config in force, unless one as new is already.
@@ -127,8 +127,8 @@
     }
 
     /// Notes that the servers are known.
-    pub(crate) fn set_has_fleet(&mut self) {
-        self.has_fleet = true;
+    pub(crate) fn set_fleet_known(&mut self) {
+        self.fleet_known = true;
     }
 
     /// Makes a change of the registry known to the service.
@@ -232,7 +232,7 @@
     ) -> Choice {
         let wish = pool::Criteria { tried, affinity: None, random: rand::random(), by_work: false };
         let Service { pool, queueing, .. } = self.service(service);
-        let Some(mut id) = pool.pick(wish, now) else { return Choice::None };
+        let Some(mut id) = pool.pick(wish, now) else { return Choice::NoServer };
         let is_late = |id: &str| {
             let slots = pool.get(id).map_or(0, |server| server.load.slots);
             queueing.limit(slots, target).is_some_and(|limit| pool.busy(id) >= limit)
@@ -240,30 +240,46 @@
         if is_late(&id) {
             let all = pool.candidates(tried, |_| true, now);
             let Some(least) = all.into_iter().min_by_key(|id| pool.busy(id)).cloned() else {
-                return Choice::None;
+                return Choice::NoServer;
             };
             if is_late(&least) {
-                return Choice::Late;
+                return Choice::Saturated;
             }
             id = least;
         }
         pool.record_sent(&id, time::Duration::ZERO);
-        self.target(&id).map_or(Choice::None, Choice::Server)
+        self.target(&id).map_or(Choice::NoServer, Choice::Server)
     }
 
     /// Notes a request, and whether its caller, who waits for `left`, has asked before.
-    pub(crate) fn note_asked(&mut self, service: &str, route: &str, left: time::Duration) -> bool {
+    pub(crate) fn record_request(
+        &mut self,
+        service: &str,
+        route: &str,
+        left: time::Duration,
+    ) -> bool {
         let returns = &mut self.service(service).returns;
         returns.entry(route.to_string()).or_default().note(left)
     }
 
     /// Learns how long a plain service works on a request.
-    pub(crate) fn learn(&mut self, service: &str, took: time::Duration, load: load::Load) {
+    pub(crate) fn record_service_time(
+        &mut self,
+        service: &str,
+        took: time::Duration,
+        load: load::Load,
+    ) {
         self.service(service).queueing.learn(took, load);
     }
 
     /// Takes the load that a server told with an answer.
-    pub(crate) fn hear(&mut self, service: &str, id: &str, load: load::Load, now: time::Instant) {
+    pub(crate) fn update_load(
+        &mut self,
+        service: &str,
+        id: &str,
+        load: load::Load,
+        now: time::Instant,
+    ) {
         // Whether a server leaves is the store's to say.
         let leaving = self.fleet.get(id).is_none_or(|instance| instance.leaving);
         self.service(service).pool.update_load(id, load::Load { leaving, ..load }, now);
@@ -283,8 +299,8 @@
     }
 
     /// Takes `sends` repeats from the service's budget.
-    pub(crate) fn take_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
-        let entries = self.entries;
+    pub(crate) fn spend_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
+        let entries = self.entry_count;
         self.service(service).repeats.take(sends, entries, now)
     }
 }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -61,7 +61,7 @@
         return early(Refusal::never(Reason::BadRequest));
     };
     let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let returned = edge.directory().note_asked(&service, &route.name, patience);
+    let returned = edge.directory().record_request(&service, &route.name, patience);
     start(call::Call {
         returned,
         edge: edge.clone(),
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -70,7 +70,7 @@
     let targets = members.targets(now);
     edge.counters.peers.set(members.live(now).count() as i64);
     drop(members);
-    edge.directory().entries = count;
+    edge.directory().entry_count = count;
     targets.into_iter().filter(|ip| *ip != edge.settings().ip).collect()
 }
 
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -77,8 +77,8 @@
     async fn send(&mut self) -> flow::Event {
         let target = match self.choose() {
             directory::Choice::Server(target) => target,
-            directory::Choice::Late => return no_server(Reason::NoRoom),
-            directory::Choice::None => return no_server(Reason::NoServer),
+            directory::Choice::Saturated => return no_server(Reason::NoRoom),
+            directory::Choice::NoServer => return no_server(Reason::NoServer),
         };
         let attempt = self.attempt(&target).await;
         self.judge(&target, &attempt);
@@ -157,9 +157,9 @@
         if let Some(load) = forms::reported_load(read.head.headers()) {
             let mut directory = self.call.edge.directory();
             if read.is_success() {
-                directory.learn(&self.call.service, clock::now() - sent_at, load);
+                directory.record_service_time(&self.call.service, clock::now() - sent_at, load);
             }
-            directory.hear(&self.call.service, &target.id, load, clock::now());
+            directory.update_load(&self.call.service, &target.id, load, clock::now());
         }
         match forms::classify(&read.head, self.call.head.attempt.as_ref()) {
             forms::HeadClass::NotRun => {
@@ -187,7 +187,7 @@
                 pool::ServerOutcome::Unknown
             }
             Attempt::Whole(_) => pool::ServerOutcome::Success,
-            Attempt::Failed(refusal) => directory::bad_end(refusal.reason),
+            Attempt::Failed(refusal) => directory::failure_outcome(refusal.reason),
             Attempt::Gone => pool::ServerOutcome::Unknown,
         };
         let mut directory = self.call.edge.directory();
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -139,7 +139,7 @@
         responder::WaitOutcome::Event(Ok(read)) => take(call, &target, &read),
     };
     let end = result.as_ref().map_or_else(
-        |refusal| directory::bad_end(refusal.reason),
+        |refusal| directory::failure_outcome(refusal.reason),
         |_| pool::ServerOutcome::Unknown,
     );
     note_end(call, &target.id, end);
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -209,7 +209,7 @@
                 }
                 Sent::No(reason) => reason,
             };
-            prefill::note_end(&self.call, &target.id, directory::bad_end(reason));
+            prefill::note_end(&self.call, &target.id, directory::failure_outcome(reason));
             tried.push(target.id.clone());
             self.room = None;
             let use_by = self.cache.as_ref().map_or(clock::now(), |cache| cache.use_by(&self.call));
@@ -267,7 +267,7 @@
                 prefill::note_end(&self.call, server, pool::ServerOutcome::Success)
             }
             flow::Event::Failed { refusal, .. } => {
-                prefill::note_end(&self.call, server, directory::bad_end(refusal.reason));
+                prefill::note_end(&self.call, server, directory::failure_outcome(refusal.reason));
             }
             _ => {}
         }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -185,7 +185,7 @@
         note_change(&mut directory, change, version);
     }
     directory.rows.version = directory.rows.version.max(version);
-    directory.set_has_fleet();
+    directory.set_fleet_known();
 }
 
 /// Drops servers whose entries did not come back, and connections that are no longer used.
