--- a/crates/edge/src/lag.rs
+++ b/crates/edge/src/lag.rs
@@ -38,7 +38,7 @@
 /// Lag behind a peer after which the store's feed counts as stalled. The feed delivers a change to
 /// all entries within milliseconds, and a config change is due within 3 s.
 const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(750);
-/// Time after which a feed is reported as stalled again while the same lag lasts.
+/// Interval between reads of the whole tables while the feed stays stalled.
 const REREAD_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
 impl Lag {
@@ -61,8 +61,8 @@
         self.peer.map(|peer| peer.ip)
     }
 
-    /// Whether the store's feed counts as stalled, so that the tables are to be read again; reported
-    /// again only after [`REREAD_INTERVAL`].
+    /// Whether the store's feed counts as stalled and the tables are to be read again; true once
+    /// per [`REREAD_INTERVAL`] while the same lag lasts.
     pub(crate) fn check_stall(&mut self, now: time::Instant) -> bool {
         let Some(peer) = self.peer.as_mut().filter(|peer| now >= peer.since + STALL_TIMEOUT) else {
             return false;
