--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -1,4 +1,4 @@
-//! Who serves what, as this entry knows it.
+//! Routes, services and servers as this entry knows them.
 
 use std::{collections, net, sync, time};
 
@@ -7,60 +7,61 @@
 
 use crate::{lag, rows};
 
-/// One service with its servers.
+/// State of one service.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) pool: pool::Pool,
     pub(crate) engines: engines::Engines,
     pub(crate) repeats: repeat::Repeats,
     queueing: queueing::Queueing,
-    returns: collections::BTreeMap<routing::RouteName, returns::Returns>,
+    retry_detectors: collections::BTreeMap<routing::RouteName, returns::Returns>,
 }
 
-/// Server for a plain request.
+/// Result of the choice of a server for a plain request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// This one.
+    /// The server to send to.
     Server(Target),
-    /// At every server so many wait that the answer would be late.
+    /// The queue of every server is too long for the latency target.
     Saturated,
-    /// There is none.
+    /// No server is available.
     NoServer,
 }
 
-/// A server that was chosen.
+/// A server and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Target {
     pub(crate) id: ids::ServerName,
     pub(crate) address: net::SocketAddr,
 }
 
-/// Routes, services and servers in force.
+/// The config and the servers in use, with the state of each service.
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: ids::ZoneName,
     allowance: repeat::Allowance,
     config: Option<sync::Arc<routing::Config>>,
-    /// What the store said, as it said it.
+    /// Rows as read from the store.
     pub(crate) rows: rows::Rows,
     pub(crate) fleet: fleet::Fleet,
     fleet_known: bool,
     services: collections::BTreeMap<ids::ServiceName, Service>,
-    /// Entries that share the retry budget, this one included.
+    /// Number of entries that share the retry budget, this one included.
     pub(crate) entry_count: u32,
 }
 
-/// Servers that cannot be reached, time after time, are asked less and less often.
+/// Makes a pool in which consecutive ejections of a server get longer.
 fn new_pool(zone: &str) -> pool::Pool {
     let mut pool = pool::Pool::new(zone.to_string());
     pool.set_tuning(pool::Tuning { suspect_after: None, backoff: true });
     pool
 }
 
-/// What a refusal or failure tells of its server.
+/// Outcome to record for a server that refused a request or failed.
 ///
-/// Whether a server leaves is the store's to say; one that another has the address of is only
-/// left out for a while, until its entry changes.
+/// Only the store decides whether a server is leaving. One that refuses requests for this reason,
+/// perhaps because another server has its address now, is ejected for a while, until its row
+/// changes.
 pub(crate) fn failure_outcome(reason: outcome::Reason) -> pool::ServerOutcome {
     match reason {
         outcome::Reason::Leaving => pool::ServerOutcome::Failure(outcome::Reason::NoServer),
@@ -68,7 +69,7 @@
     }
 }
 
-/// Entries that are assumed until the others are known.
+/// Number of entries to assume until the peers are known.
 const INITIAL_ENTRIES: u32 = 8;
 
 impl Directory {
@@ -85,18 +86,18 @@
         }
     }
 
-    /// Routes and services in force.
+    /// The config in use.
     pub(crate) fn config(&self) -> Option<sync::Arc<routing::Config>> {
         self.config.clone()
     }
 
-    /// How much of the store is known.
+    /// Versions of the config and the servers in use.
     pub(crate) fn versions(&self) -> lag::Versions {
         let config = self.config.as_ref().map_or(0, |config| config.version);
         lag::Versions { config, servers: self.rows.version }
     }
 
-    /// What the store said, for a peer.
+    /// Snapshot of the store's rows for a peer.
     pub(crate) fn snapshot(&self, now: time::Instant) -> share::Snapshot {
         let awaited = self
             .fleet
@@ -110,53 +111,55 @@
         self.config.is_some() && self.fleet_known
     }
 
-    /// Puts a config in force, unless one as new is already.
+    /// Applies a config; false if the one in use is at least as new.
     pub(crate) fn set_config(&mut self, config: routing::Config) -> bool {
         if self.config.as_ref().is_some_and(|old| old.version >= config.version) {
             return false;
         }
         for service in self.services.values_mut() {
-            service.returns.retain(|name, _| config.routes.iter().any(|route| route.name == *name));
+            service
+                .retry_detectors
+                .retain(|name, _| config.routes.iter().any(|route| route.name == *name));
         }
         self.config = Some(sync::Arc::new(config));
         let ids: Vec<_> = self.fleet.instances().keys().cloned().collect();
         for id in ids {
-            self.place(&id);
+            self.update_server(&id);
         }
         true
     }
 
-    /// Notes that the servers are known.
+    /// Records that the servers are known.
     pub(crate) fn set_fleet_known(&mut self) {
         self.fleet_known = true;
     }
 
-    /// Makes a change of the registry known to the service.
+    /// Applies a change of the registered servers to the services.
     pub(crate) fn apply(&mut self, change: &fleet::Change) {
         match change {
             fleet::Change::Joined(id) => {
-                self.forget(id);
-                self.place(id);
+                self.remove_server(id);
+                self.update_server(id);
             }
-            fleet::Change::Updated(id) => self.place(id),
+            fleet::Change::Updated(id) => self.update_server(id),
             fleet::Change::Leaving(id) => {
                 for service in self.services.values_mut() {
                     service.pool.set_leaving(id, true);
                     service.engines.set_unusable(id);
                 }
             }
-            fleet::Change::Gone(id) => self.forget(id),
+            fleet::Change::Gone(id) => self.remove_server(id),
         }
     }
 
-    fn forget(&mut self, id: &str) {
+    fn remove_server(&mut self, id: &str) {
         for service in self.services.values_mut() {
             service.pool.remove(id);
             service.engines.remove(id);
         }
     }
 
-    fn place(&mut self, id: &str) {
+    fn update_server(&mut self, id: &str) {
         let Some(instance) = self.fleet.get(id).cloned() else { return };
         let config = self.config.clone();
         let engine = config
@@ -167,8 +170,8 @@
         let is_new = service.pool.get(id).is_none();
         service.pool.add(id, &instance.zone);
         if is_new {
-            let rooms = instance.slots;
-            let idle = load::Load { slots: rooms, ..load::Load::default() };
+            let slots = instance.slots;
+            let idle = load::Load { slots, ..load::Load::default() };
             service.pool.update_load(id, idle, rhubarb_node::clock::now());
         }
         service.pool.set_leaving(id, instance.leaving);
@@ -177,17 +180,17 @@
         }
     }
 
-    /// The service `name`, made on first use.
+    /// The service `name`, created on first use.
     pub(crate) fn service(&mut self, name: &str) -> &mut Service {
         let (zone, allowance) = (&self.zone, self.allowance);
-        let fresh = || Service {
+        let new_service = || Service {
             pool: new_pool(zone),
             engines: engines::Engines::default(),
             repeats: repeat::Repeats::new(allowance),
             queueing: queueing::Queueing::default(),
-            returns: collections::BTreeMap::new(),
+            retry_detectors: collections::BTreeMap::new(),
         };
-        self.services.entry(name.to_string()).or_insert_with(fresh)
+        self.services.entry(name.to_string()).or_insert_with(new_service)
     }
 
     /// All services.
@@ -206,23 +209,23 @@
         self.config.as_ref()?.services.get(service)?.engine.as_ref()
     }
 
-    /// Time that a change of stage takes at a service's engines.
+    /// Time that an engine of a service takes to change its stage.
     pub(crate) fn switch_time(&self, service: &str) -> time::Duration {
         self.engine(service).map_or(time::Duration::ZERO, |engine| engine.switch_time)
     }
 
-    /// Tokens of one event of a service's streams.
+    /// Tokens per event in the streams of a service.
     pub(crate) fn event_tokens(&self, service: &str) -> u32 {
         self.engine(service).map_or(1, |engine| engine.event_tokens)
     }
 
-    /// Where a server is reached.
+    /// Address of a server; `None` if it is not registered.
     pub(crate) fn target(&self, id: &str) -> Option<Target> {
         let instance = self.fleet.get(id)?;
         Some(Target { id: id.to_string(), address: instance.address })
     }
 
-    /// Chooses a server of a plain service.
+    /// Chooses a server of a plain service and records that a request is sent to it.
     pub(crate) fn pick(
         &mut self,
         service: &str,
@@ -230,19 +233,20 @@
         tried: &[ids::ServerName],
         now: time::Instant,
     ) -> Choice {
-        let wish = pool::Criteria { tried, affinity: None, random: rand::random(), by_work: false };
+        let criteria =
+            pool::Criteria { tried, affinity: None, random: rand::random(), by_work: false };
         let Service { pool, queueing, .. } = self.service(service);
-        let Some(mut id) = pool.pick(wish, now) else { return Choice::NoServer };
-        let is_late = |id: &str| {
+        let Some(mut id) = pool.pick(criteria, now) else { return Choice::NoServer };
+        let is_saturated = |id: &str| {
             let slots = pool.get(id).map_or(0, |server| server.load.slots);
             queueing.limit(slots, target).is_some_and(|limit| pool.busy(id) >= limit)
         };
-        if is_late(&id) {
+        if is_saturated(&id) {
             let all = pool.candidates(tried, |_| true, now);
             let Some(least) = all.into_iter().min_by_key(|id| pool.busy(id)).cloned() else {
                 return Choice::NoServer;
             };
-            if is_late(&least) {
+            if is_saturated(&least) {
                 return Choice::Saturated;
             }
             id = least;
@@ -251,28 +255,28 @@
         self.target(&id).map_or(Choice::NoServer, Choice::Server)
     }
 
-    /// Notes a request, and whether its caller, who waits for `left`, has asked before.
+    /// Records a request whose caller waits for `left`; true if this time shows it to be a retry.
     pub(crate) fn record_request(
         &mut self,
         service: &str,
         route: &str,
         left: time::Duration,
     ) -> bool {
-        let returns = &mut self.service(service).returns;
-        returns.entry(route.to_string()).or_default().note(left)
+        let detectors = &mut self.service(service).retry_detectors;
+        detectors.entry(route.to_string()).or_default().note(left)
     }
 
-    /// Learns how long a plain service works on a request.
+    /// Records the duration of a plain request and the load that its server reported.
     pub(crate) fn record_service_time(
         &mut self,
         service: &str,
-        took: time::Duration,
+        duration: time::Duration,
         load: load::Load,
     ) {
-        self.service(service).queueing.learn(took, load);
+        self.service(service).queueing.learn(duration, load);
     }
 
-    /// Takes the load that a server told with an answer.
+    /// Records the load that a server reported with a response.
     pub(crate) fn update_load(
         &mut self,
         service: &str,
@@ -280,12 +284,12 @@
         load: load::Load,
         now: time::Instant,
     ) {
-        // Whether a server leaves is the store's to say.
+        // Only the store decides whether a server is leaving.
         let leaving = self.fleet.get(id).is_none_or(|instance| instance.leaving);
         self.service(service).pool.update_load(id, load::Load { leaving, ..load }, now);
     }
 
-    /// Changes the bounds on repeated sends.
+    /// Sets the bounds of the retry budgets.
     pub(crate) fn set_allowance(&mut self, allowance: repeat::Allowance) {
         self.allowance = allowance;
         for service in self.services.values_mut() {
@@ -293,12 +297,12 @@
         }
     }
 
-    /// Whether a server has announced that it leaves, or is gone.
+    /// Whether a server is leaving or no longer registered.
     pub(crate) fn is_leaving(&self, id: &str) -> bool {
         self.fleet.get(id).is_none_or(|instance| instance.leaving)
     }
 
-    /// Takes `sends` repeats from the service's budget.
+    /// Spends `sends` repeats from the retry budget of a service; false if too few are left.
     pub(crate) fn spend_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
         let entries = self.entry_count;
         self.service(service).repeats.take(sends, entries, now)
