--- a/crates/edge/src/lag.rs
+++ b/crates/edge/src/lag.rs
@@ -10,7 +10,7 @@
 pub(crate) struct Versions {
     /// Version of the config in use; 0 without a config.
     pub(crate) config: ids::ListVersion,
-    /// Store version of the servers' rows.
+    /// Store version as of which the servers' rows are known.
     pub(crate) servers: store::Version,
 }
 
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -79,7 +79,7 @@
     let peers = edge.members().announced(seq, now);
     let mut directory = edge.directory();
     let config = directory.versions().config;
-    let servers = directory.rows.newest;
+    let servers = directory.rows.newest_change;
     let own = directory.services().flat_map(|service| service.engines.commitments(now));
     let given =
         own.map(|(id, commitment)| share::EngineCommitment::new(&id, &commitment)).collect();
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -115,7 +115,7 @@
 
 fn apply(edge: &edge::Edge, table: store::Table, rows: &[store::Row]) {
     for row in rows {
-        if !edge.directory().rows.take(table, row) {
+        if !edge.directory().rows.update(table, row) {
             continue;
         }
         match (table, &row.value) {
@@ -174,8 +174,8 @@
 ) {
     let now = clock::now();
     let mut directory = edge.directory();
-    for key in directory.rows.absent(rows, version) {
-        directory.rows.drop_server(&key, version);
+    for key in directory.rows.missing_from(rows, version) {
+        directory.rows.remove_server(&key, version);
         if let Some(server) = awaited.iter().find(|server| server.key == key) {
             directory.fleet.keep_until(&key, now + server.remaining);
             tracing::info!(server = key, left = ?server.remaining, version, "edge: server waited for");
