--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -95,7 +95,7 @@
     site.add_edge().await?;
     site.wait_ready().await?;
     assert!(is_served(&site, 1, site::UNSAFE).await);
-    assert!(site.edges[1].log().contains("learned from peer"));
+    assert!(site.edges[1].log().contains("snapshot received from peer"));
     Ok(())
 }
 
@@ -127,7 +127,7 @@
         assert!(is_served(&site, 0, site::SAFE).await, "the valid rows stay in use");
     }
     assert_eq!(site.plain[1].seen().len(), before);
-    assert!(site.edges[0].log().contains("entry not used"));
+    assert!(site.edges[0].log().contains("invalid row of server not used"));
     Ok(())
 }
 
@@ -188,7 +188,7 @@
     site.store.put("op", "config", config_with_route(&site, 5));
     assert!(served_within(&site, 1, "/added/x", 3_000).await, "{}", site.edges[1].log());
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
-    assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
+    assert!(site.edges[1].log().contains("store unavailable"), "{}", site.edges[1].log());
     let before = site.plain[1].seen().len();
     for _ in 0..10 {
         assert!(is_served(&site, 1, site::SAFE).await);
@@ -217,9 +217,9 @@
     let row = site.store.get("servers", "i-plain-1").unwrap();
     site.store.remove("servers", "i-plain-1");
     tokio::time::sleep(time::Duration::from_millis(2_000)).await;
-    assert!(site.edges[1].log().contains("store lost"), "{}", site.edges[1].log());
+    assert!(site.edges[1].log().contains("store unavailable"), "{}", site.edges[1].log());
     site.store.set_mode(store::Mode::Up);
-    wait_log(&site, 0, r#"store regained","table":"Servers""#, 2).await?;
+    wait_log(&site, 0, r#"store available","table":"Servers""#, 2).await?;
     site.store.put("op", "config", site.config(9).to_string());
     wait_log(&site, 1, r#""version":9"#, 1).await?;
 
@@ -227,7 +227,7 @@
     site.store.put("servers", "i-plain-1", row);
     tokio::time::sleep(time::Duration::from_millis(2_500)).await;
     let log = site.edges[1].log();
-    assert!(log.contains("server waited for"), "{log}");
+    assert!(log.contains("missing server kept"), "{log}");
     assert!(!log.contains(r#"Gone(\"i-plain-1\")"#), "{log}");
     Ok(())
 }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -207,7 +207,7 @@
         }
         let fetching = fetch(address(&edge, ip));
         match tokio::time::timeout(FETCH_LIMIT, fetching).await {
-            Ok(Ok(snapshot)) => watch::learn_from_peer(&edge, ip, snapshot),
+            Ok(Ok(snapshot)) => watch::apply_snapshot(&edge, ip, snapshot),
             Ok(Err(err)) => tracing::info!(%ip, %err, "edge: no snapshot from peer"),
             Err(_) => tracing::info!(%ip, "edge: no snapshot from peer in time"),
         }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the operator's config and the servers' entries in the platform's store.
+//! Follows the operator's config and the servers' rows in the platform's store.
 
 use std::{net, sync, sync::atomic, time};
 
@@ -9,57 +9,60 @@
 
 use crate::{boot, directory, edge};
 
-/// A feed waits this long in the store; connections that have gone silent are found by probes.
+/// Time that the store holds a feed request open without changes. A feed that stalls is detected
+/// earlier, by the newer versions of the peers.
 const FEED_WAIT: time::Duration = time::Duration::from_secs(20);
-/// Answers of the store are due within this time.
-const READ_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// Pause after a call that failed, before jitter.
-const PAUSE: time::Duration = time::Duration::from_millis(250);
-/// Longest pause after calls that failed in a row.
-const MAX_PAUSE: time::Duration = time::Duration::from_millis(1_000);
-/// Entries that vanished around an outage are looked at this often.
+/// Timeout of a read.
+const READ_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Base of the delay after failed calls, which doubles with each of them, before jitter.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(250);
+/// Longest delay after consecutive failed calls, before jitter.
+const MAX_RETRY_DELAY: time::Duration = time::Duration::from_millis(1_000);
+/// Interval between checks for servers whose grace period has expired and for idle connections.
 const SWEEP_PERIOD: time::Duration = time::Duration::from_millis(200);
 
-/// Follows `table` for as long as the process runs.
+/// Follows `table`; does not return.
 pub(crate) async fn follow(edge: sync::Arc<edge::Edge>, table: store::Table) {
-    // Until the first answer the store counts as away, so that peers are asked.
-    let mut contact = Contact { is_away: true, pause: PAUSE };
+    // Until the first response the table counts as unavailable, so that snapshots are fetched from
+    // peers.
+    let mut state = TableState { is_unavailable: true, retry_delay: RETRY_DELAY };
     edge.unavailable_tables.fetch_add(1, atomic::Ordering::Relaxed);
     loop {
-        let err = match follow_once(&edge, table, &mut contact).await {
+        let err = match follow_once(&edge, table, &mut state).await {
             Ok(()) => continue,
             Err(err) => err,
         };
         if matches!(err, store::StoreError::HistoryGone) {
-            tracing::info!(?table, "edge: history of the store is gone, reading all");
+            tracing::info!(?table, "edge: change history is gone; reading the whole table");
             continue;
         }
-        contact.lose(&edge, table, &err);
-        tokio::time::sleep(clock::jitter(contact.pause)).await;
+        state.record_failure(&edge, table, &err);
+        tokio::time::sleep(clock::jitter(state.retry_delay)).await;
     }
 }
 
-struct Contact {
-    is_away: bool,
-    pause: time::Duration,
+// Availability of one table in the store.
+struct TableState {
+    is_unavailable: bool,
+    retry_delay: time::Duration,
 }
 
-impl Contact {
-    fn lose(&mut self, edge: &edge::Edge, table: store::Table, err: &store::StoreError) {
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
-        if !self.is_away {
-            self.is_away = true;
+impl TableState {
+    fn record_failure(&mut self, edge: &edge::Edge, table: store::Table, err: &store::StoreError) {
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
+        if !self.is_unavailable {
+            self.is_unavailable = true;
             edge.unavailable_tables.fetch_add(1, atomic::Ordering::Relaxed);
-            tracing::warn!(?table, %err, "edge: store lost");
+            tracing::warn!(?table, %err, "edge: store unavailable");
         }
     }
 
-    fn regain(&mut self, edge: &edge::Edge, table: store::Table, version: store::Version) {
-        self.pause = PAUSE;
-        if self.is_away {
-            self.is_away = false;
+    fn record_success(&mut self, edge: &edge::Edge, table: store::Table, version: store::Version) {
+        self.retry_delay = RETRY_DELAY;
+        if self.is_unavailable {
+            self.is_unavailable = false;
             edge.unavailable_tables.fetch_sub(1, atomic::Ordering::Relaxed);
-            tracing::info!(?table, version, "edge: store regained");
+            tracing::info!(?table, version, "edge: store available");
             let mut directory = edge.directory();
             if table == store::Table::Servers && directory.is_complete() {
                 directory.fleet.registry_recovered(clock::now());
@@ -68,29 +71,29 @@
     }
 }
 
-// Reads the table and follows its changes until it is to be read again.
+// Reads the whole table and follows its changes. Returns when the table is to be read again.
 async fn follow_once(
     edge: &edge::Edge,
     table: store::Table,
-    contact: &mut Contact,
+    state: &mut TableState,
 ) -> Result<(), store::StoreError> {
-    let all = edge.store.read_all(table, READ_LIMIT).await?;
-    contact.regain(edge, table, all.version);
+    let all = edge.store.read_all(table, READ_TIMEOUT).await?;
+    state.record_success(edge, table, all.version);
     let mut version = all.version;
     apply(edge, table, &all.rows);
     if table == store::Table::Servers {
-        keep_only(edge, &all.rows, all.version, &[]);
+        remove_missing(edge, &all.rows, all.version, &[]);
     }
     loop {
-        let news = tokio::select! {
-            news = edge.store.feed(table, version, FEED_WAIT) => news?,
+        let changes = tokio::select! {
+            changes = edge.store.feed(table, version, FEED_WAIT) => changes?,
             () = edge.feed_stalled.notified() => {
-                tracing::info!(?table, version, "edge: peers know more, the store is asked again");
+                tracing::info!(?table, version, "edge: feed stalled; reading the whole table");
                 return Ok(());
             }
         };
-        version = version.max(news.version);
-        apply(edge, table, &news.rows);
+        version = version.max(changes.version);
+        apply(edge, table, &changes.rows);
         if table == store::Table::Servers {
             let mut directory = edge.directory();
             directory.rows.version = directory.rows.version.max(version);
@@ -98,10 +101,15 @@
     }
 }
 
-/// Takes what a peer knows from the store.
-pub(crate) fn learn_from_peer(edge: &edge::Edge, from: net::IpAddr, snapshot: share::Snapshot) {
+/// Applies the snapshot of a peer.
+pub(crate) fn apply_snapshot(edge: &edge::Edge, from: net::IpAddr, snapshot: share::Snapshot) {
     let version = snapshot.version;
-    tracing::info!(%from, version, servers = snapshot.servers.len(), "edge: learned from peer");
+    tracing::info!(
+        %from,
+        version,
+        servers = snapshot.servers.len(),
+        "edge: snapshot received from peer"
+    );
     let to_row =
         |row: share::Row| store::Row { key: row.key, version: row.version, value: Some(row.value) };
     let config: Vec<_> = snapshot.config.into_iter().map(to_row).collect();
@@ -109,7 +117,7 @@
     let servers: Vec<_> = snapshot.servers.into_iter().map(to_row).collect();
     apply(edge, store::Table::Servers, &servers);
     if !servers.is_empty() {
-        keep_only(edge, &servers, version, &snapshot.awaited);
+        remove_missing(edge, &servers, version, &snapshot.awaited);
     }
 }
 
@@ -133,10 +141,10 @@
             let (version, routes) = (config.version, config.routes.len());
             if edge.directory().set_config(config) {
                 edge.counters.version.set(version as i64);
-                tracing::info!(version, routes, "edge: config in force");
+                tracing::info!(version, routes, "edge: config applied");
             }
         }
-        Err(err) => tracing::error!(%err, "edge: config not used"),
+        Err(err) => tracing::error!(%err, "edge: invalid config ignored"),
     }
 }
 
@@ -146,15 +154,15 @@
     let change = match parsed {
         Some(Ok(instance)) => directory.fleet.set(&row.key, instance),
         Some(Err(err)) => {
-            tracing::warn!(server = row.key, %err, "edge: entry not used");
+            tracing::warn!(server = row.key, %err, "edge: invalid row of server not used");
             directory.fleet.set_invalid(&row.key)
         }
         None => directory.fleet.remove(&row.key, clock::now()),
     };
-    note_change(&mut directory, change, row.version);
+    apply_change(&mut directory, change, row.version);
 }
 
-fn note_change(
+fn apply_change(
     directory: &mut directory::Directory,
     change: Option<fleet::Change>,
     version: store::Version,
@@ -165,8 +173,9 @@
     }
 }
 
-// Servers without an entry as of `version` are gone, unless a peer waits for their return.
-fn keep_only(
+// Removes the servers without a row as of `version`, except those that a peer still keeps for a
+// grace period.
+fn remove_missing(
     edge: &edge::Edge,
     rows: &[store::Row],
     version: store::Version,
@@ -178,30 +187,36 @@
         directory.rows.remove_server(&key, version);
         if let Some(server) = awaited.iter().find(|server| server.key == key) {
             directory.fleet.keep_until(&key, now + server.remaining);
-            tracing::info!(server = key, left = ?server.remaining, version, "edge: server waited for");
+            tracing::info!(
+                server = key,
+                left = ?server.remaining,
+                version,
+                "edge: missing server kept"
+            );
             continue;
         }
         let change = directory.fleet.remove(&key, now);
-        note_change(&mut directory, change, version);
+        apply_change(&mut directory, change, version);
     }
     directory.rows.version = directory.rows.version.max(version);
     directory.set_fleet_known();
 }
 
-/// Drops servers whose entries did not come back, and connections that are no longer used.
+/// Removes servers whose rows did not return within the grace period, and closes idle connections;
+/// does not return.
 pub(crate) async fn sweep(edge: sync::Arc<edge::Edge>) {
-    let mut suspended = suspension::Suspension::new(clock::now(), boot::time());
+    let mut suspension = suspension::Suspension::new(clock::now(), boot::time());
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
-        if let Some(time) = suspended.check(clock::now(), boot::time()) {
-            let millis = time.as_millis() as u64;
-            tracing::warn!(millis, "edge: was suspended, idle connections dropped");
+        if let Some(duration) = suspension.check(clock::now(), boot::time()) {
+            let millis = duration.as_millis() as u64;
+            tracing::warn!(millis, "edge: machine was suspended; idle connections closed");
             edge.links.drop_idle();
         }
         edge.links.sweep();
         let mut directory = edge.directory();
         while let Some(change) = directory.fleet.next_expired(clock::now()) {
-            note_change(&mut directory, Some(change), 0);
+            apply_change(&mut directory, Some(change), 0);
         }
     }
 }
