--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -1,4 +1,4 @@
-//! Exchange with the other entries: commitments by UDP, what the store said by TCP.
+//! Exchange with the peers, the other entries: commitments by UDP, snapshots of the store by TCP.
 
 use std::{net, sync, sync::atomic, time};
 
@@ -10,44 +10,45 @@
 
 use crate::{edge, lag, links, watch};
 
-/// Peers are told at least this often, as a sign of life.
-const TELL_PERIOD: time::Duration = time::Duration::from_millis(300);
-/// An engine that a peer has ordered to change counts as changing for this long after it said so.
-const CHANGING_TIME: time::Duration = time::Duration::from_secs(1);
-/// Changes within this time are told together; a prefill takes several times as long.
-const TELL_PAUSE: time::Duration = time::Duration::from_millis(20);
-/// Instances that may be peers are looked up this often.
-const DISCOVER_PERIOD: time::Duration = time::Duration::from_secs(30);
-/// Addresses from the settings are tried this often, until as many peers are heard.
+/// Interval between datagrams to the peers without changes; they are also the heartbeats.
+const HEARTBEAT_PERIOD: time::Duration = time::Duration::from_millis(300);
+/// Time for which an engine counts as changing its stage after a peer reported it.
+const CHANGING_TTL: time::Duration = time::Duration::from_secs(1);
+/// Delay in which changes are batched into one datagram; a prefill takes several times as long.
+const BATCH_DELAY: time::Duration = time::Duration::from_millis(20);
+/// Interval between lookups of the instances in the store, before jitter.
+const DISCOVERY_PERIOD: time::Duration = time::Duration::from_secs(30);
+/// Interval between attempts at the addresses in the settings, before jitter; they end when as many
+/// peers are live.
 const SEED_PERIOD: time::Duration = time::Duration::from_secs(2);
-/// A peer's news is fetched at most this often.
-const FETCH_PERIOD: time::Duration = time::Duration::from_millis(250);
-/// Time for one snapshot.
-const FETCH_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// Time for one call to the store.
-const STORE_LIMIT: time::Duration = time::Duration::from_millis(1_500);
-/// Snapshots that are sent at the same time.
-const SNAPSHOTS: usize = 8;
+/// Minimum interval between fetches of snapshots.
+const FETCH_INTERVAL: time::Duration = time::Duration::from_millis(250);
+/// Timeout of the transfer of a snapshot.
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// Timeout of a call to the store.
+const STORE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Maximum number of snapshots that are sent at once.
+const MAX_SNAPSHOTS: usize = 8;
 
-/// Where the entry at `ip` listens for its peers.
+/// Address at which the entry at `ip` listens for its peers.
 pub(crate) fn address(edge: &edge::Edge, ip: net::IpAddr) -> net::SocketAddr {
     let (first, _) = edge.settings().port_range;
     net::SocketAddr::new(ip, first)
 }
 
-/// Tells the peers what this entry has given to engines.
-pub(crate) async fn tell(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+/// Sends this entry's commitments to its peers; does not return.
+pub(crate) async fn send_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
     let mut seq = 0;
     loop {
-        // Either what has changed or nothing within the period.
-        let _ = tokio::time::timeout(TELL_PERIOD, edge.commitments_changed.notified()).await;
-        tokio::time::sleep(TELL_PAUSE).await;
+        // Wakes up after a change or at the end of the period.
+        let _ = tokio::time::timeout(HEARTBEAT_PERIOD, edge.commitments_changed.notified()).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         seq += 1;
-        let targets = note_members(&edge);
-        let bytes = match make_share(&edge, seq).encode() {
+        let targets = update_members(&edge);
+        let bytes = match build_share(&edge, seq).encode() {
             Ok(bytes) => bytes,
             Err(err) => {
-                tracing::error!(%err, "edge: state not written for peers");
+                tracing::error!(%err, "edge: state for peers not encoded");
                 continue;
             }
         };
@@ -63,7 +64,7 @@
     }
 }
 
-fn note_members(edge: &edge::Edge) -> Vec<net::IpAddr> {
+fn update_members(edge: &edge::Edge) -> Vec<net::IpAddr> {
     let now = clock::now();
     let mut members = edge.members();
     let count = members.count(now);
@@ -74,15 +75,16 @@
     targets.into_iter().filter(|ip| *ip != edge.settings().ip).collect()
 }
 
-fn make_share(edge: &edge::Edge, seq: u64) -> share::Share {
+fn build_share(edge: &edge::Edge, seq: u64) -> share::Share {
     let now = clock::now();
     let peers = edge.members().announced(seq, now);
     let mut directory = edge.directory();
     let config = directory.versions().config;
     let servers = directory.rows.newest_change;
-    let own = directory.services().flat_map(|service| service.engines.commitments(now));
-    let given =
-        own.map(|(id, commitment)| share::EngineCommitment::new(&id, &commitment)).collect();
+    let commitments = directory.services().flat_map(|service| service.engines.commitments(now));
+    let committed = commitments
+        .map(|(id, commitment)| share::EngineCommitment::new(&id, &commitment))
+        .collect();
     let usage = directory
         .named_services()
         .map(|(name, service)| (name.clone(), service.engines.usage(now)));
@@ -90,38 +92,28 @@
     drop(directory);
     let changing = edge.orders().changing(now);
     let (name, incarnation) = (edge.settings().name.clone(), edge.incarnation);
-    share::Share {
-        name,
-        incarnation,
-        seq,
-        config,
-        servers,
-        peers,
-        committed: given,
-        usage,
-        changing,
-    }
+    share::Share { name, incarnation, seq, config, servers, peers, committed, usage, changing }
 }
 
-/// Takes what the peers tell.
-pub(crate) async fn hear(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+/// Receives the commitments of the peers; does not return.
+pub(crate) async fn receive_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
     let mut buffer = vec![0; share::MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(err) => {
-                tracing::debug!(%err, "edge: no datagram received");
+                tracing::debug!(%err, "edge: receiving a datagram failed");
                 continue;
             }
         };
         match share::Share::decode(&buffer[..length]) {
-            Ok(share) => take(&edge, from.ip(), &share),
-            Err(err) => tracing::warn!(%from, %err, "edge: datagram dropped"),
+            Ok(share) => handle_share(&edge, from.ip(), &share),
+            Err(err) => tracing::warn!(%from, %err, "edge: invalid datagram ignored"),
         }
     }
 }
 
-fn take(edge: &edge::Edge, from: net::IpAddr, share: &share::Share) {
+fn handle_share(edge: &edge::Edge, from: net::IpAddr, share: &share::Share) {
     let now = clock::now();
     if share.incarnation == edge.incarnation {
         return;
@@ -136,14 +128,14 @@
     }
     drop(members);
     if is_new {
-        tracing::info!(peer = share.name, %from, config = share.config, "edge: peer heard");
+        tracing::info!(peer = share.name, %from, config = share.config, "edge: peer joined");
     }
-    let told = share.commitments();
+    let commitments = share.commitments();
     let mut directory = edge.directory();
     for service in directory.services() {
-        service.engines.update_peer(&share.name, &told, now);
+        service.engines.update_peer(&share.name, &commitments, now);
         for id in &share.changing {
-            service.engines.set_changing(id, now + CHANGING_TIME);
+            service.engines.set_changing(id, now + CHANGING_TTL);
         }
     }
     for (name, usage) in &share.usage {
@@ -159,20 +151,20 @@
     edge.slot_freed.notify_waiters();
 }
 
-/// Sends what the store said to peers that ask.
+/// Sends snapshots of the store to peers that request them; does not return.
 pub(crate) async fn serve_snapshots(edge: sync::Arc<edge::Edge>, listener: tcp::TcpListener) {
-    let slots = sync::Arc::new(lock::Semaphore::new(SNAPSHOTS));
+    let permits = sync::Arc::new(lock::Semaphore::new(MAX_SNAPSHOTS));
     loop {
-        let slot = slots.clone().acquire_owned().await;
+        let permit = permits.clone().acquire_owned().await;
         let Ok((mut stream, from)) = listener.accept().await else {
-            tokio::time::sleep(FETCH_PERIOD).await;
+            tokio::time::sleep(FETCH_INTERVAL).await;
             continue;
         };
         let snapshot = edge.directory().snapshot(clock::now());
         tokio::spawn(async move {
-            let _slot = slot;
-            let sending = send_snapshot(&mut stream, &snapshot);
-            match tokio::time::timeout(FETCH_LIMIT, sending).await {
+            let _permit = permit;
+            let transfer = send_snapshot(&mut stream, &snapshot);
+            match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
                 Ok(Ok(())) => {}
                 Ok(Err(err)) => tracing::info!(%from, %err, "edge: snapshot not sent"),
                 Err(_) => tracing::info!(%from, "edge: snapshot not sent in time"),
@@ -191,22 +183,22 @@
     Ok(())
 }
 
-/// Fetches from peers what the store does not tell this entry.
+/// Fetches snapshots from peers that have newer rows of the store; does not return.
 pub(crate) async fn fetch_snapshots(edge: sync::Arc<edge::Edge>) {
     loop {
         edge.lag_detected.notified().await;
-        // The store's own feed comes first where it works.
-        tokio::time::sleep(FETCH_PERIOD).await;
+        // Gives the feed of the store time to deliver the change.
+        tokio::time::sleep(FETCH_INTERVAL).await;
         let own = edge.directory().versions();
         let Some(ip) = edge.lag().address(&own) else { continue };
-        if !is_turned_away(&edge) {
+        if !is_disconnected(&edge) {
             if !edge.lag().check_stall(clock::now()) {
                 continue;
             }
             edge.feed_stalled.notify_waiters();
         }
-        let fetching = fetch(address(&edge, ip));
-        match tokio::time::timeout(FETCH_LIMIT, fetching).await {
+        let transfer = fetch(address(&edge, ip));
+        match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
             Ok(Ok(snapshot)) => watch::apply_snapshot(&edge, ip, snapshot),
             Ok(Err(err)) => tracing::info!(%ip, %err, "edge: no snapshot from peer"),
             Err(_) => tracing::info!(%ip, "edge: no snapshot from peer in time"),
@@ -214,7 +206,7 @@
     }
 }
 
-fn is_turned_away(edge: &edge::Edge) -> bool {
+fn is_disconnected(edge: &edge::Edge) -> bool {
     edge.unavailable_tables.load(atomic::Ordering::Relaxed) > 0
 }
 
@@ -227,27 +219,28 @@
     Ok(share::Snapshot::decode(&bytes)?)
 }
 
-/// Finds peers by the addresses in the settings and by the instances' rows in the store.
+/// Discovers peers from the addresses in the settings and from the rows of instances in the store;
+/// does not return.
 pub(crate) async fn discover(edge: sync::Arc<edge::Edge>) {
-    tokio::spawn(try_seeds(edge.clone()));
+    tokio::spawn(retry_seeds(edge.clone()));
     loop {
-        if let Err(err) = exchange_rows(&edge).await {
-            tracing::info!(%err, "edge: instances not looked up in the store");
+        if let Err(err) = exchange_addresses(&edge).await {
+            tracing::info!(%err, "edge: instances not read from the store");
             tokio::time::sleep(clock::jitter(SEED_PERIOD)).await;
             continue;
         }
-        tokio::time::sleep(clock::jitter(DISCOVER_PERIOD)).await;
+        tokio::time::sleep(clock::jitter(DISCOVERY_PERIOD)).await;
     }
 }
 
-async fn try_seeds(edge: sync::Arc<edge::Edge>) {
+async fn retry_seeds(edge: sync::Arc<edge::Edge>) {
     loop {
-        hope_for_seeds(&edge);
+        add_seeds(&edge);
         tokio::time::sleep(clock::jitter(SEED_PERIOD)).await;
     }
 }
 
-fn hope_for_seeds(edge: &edge::Edge) {
+fn add_seeds(edge: &edge::Edge) {
     let now = clock::now();
     let mut members = edge.members();
     if members.live(now).count() < edge.settings().seeds.len() {
@@ -257,7 +250,7 @@
     }
 }
 
-async fn exchange_rows(edge: &edge::Edge) -> Result<(), store::StoreError> {
+async fn exchange_addresses(edge: &edge::Edge) -> Result<(), store::StoreError> {
     let ip = edge.settings().ip.to_string();
     let write = store::Write {
         table: store::Table::Members,
@@ -265,8 +258,8 @@
         expected: None,
         value: ip.as_bytes(),
     };
-    edge.store.write(write, STORE_LIMIT).await?;
-    let rows = edge.store.read_all(store::Table::Members, STORE_LIMIT).await?;
+    edge.store.write(write, STORE_TIMEOUT).await?;
+    let rows = edge.store.read_all(store::Table::Members, STORE_TIMEOUT).await?;
     let now = clock::now();
     let mut members = edge.members();
     for row in rows.rows {
@@ -274,7 +267,7 @@
         match text.map(|text| text.parse()) {
             Some(Ok(ip)) => members.add_candidate(ip, now),
             Some(Err(_)) | None => {
-                tracing::warn!(key = row.key, "edge: an instance's row is not an IP number");
+                tracing::warn!(key = row.key, "edge: row of an instance is not an IP address");
             }
         }
     }
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -46,8 +46,8 @@
         server::bind_tcp_and_udp(peers::address(&edge, edge.settings().ip)).await?;
     let shares = sync::Arc::new(shares);
     let writing = tokio::spawn(ledger::run(edge.clone()));
-    tokio::spawn(peers::tell(edge.clone(), shares.clone()));
-    tokio::spawn(peers::hear(edge.clone(), shares));
+    tokio::spawn(peers::send_shares(edge.clone(), shares.clone()));
+    tokio::spawn(peers::receive_shares(edge.clone(), shares));
     tokio::spawn(peers::serve_snapshots(edge.clone(), snapshots));
     tokio::spawn(peers::fetch_snapshots(edge.clone()));
     tokio::spawn(peers::discover(edge.clone()));
