--- a/crates/edge/src/dates.rs
+++ b/crates/edge/src/dates.rs
@@ -1,10 +1,11 @@
-//! Dates for records that people read; nothing is decided by them.
+//! Dates for usage records, which people read; no decision depends on them.
 
 use std::time;
 
 use rhubarb_node::clock;
 
-/// Dates of a process: that of its start and the time that has passed, whatever the wall clock does.
+/// Clock that starts from the wall clock and advances with the monotonic clock, so that later
+/// changes of the wall clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Dates {
     start: time::Instant,
