--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when they change.
+//! Reloads the settings on SIGHUP and after a change.
 
 use std::{sync, time};
 
@@ -8,33 +8,33 @@
 
 use crate::edge;
 
-/// Settings that change without a signal are noticed within this time.
-const PERIOD: time::Duration = time::Duration::from_secs(2);
+/// Interval between checks for changes without a signal.
+const CHECK_PERIOD: time::Duration = time::Duration::from_secs(2);
 
-/// Follows the settings file.
+/// Reloads the settings after each signal and each period; does not return.
 pub(crate) async fn run(edge: sync::Arc<edge::Edge>, mut hangups: unix::Signal) {
     loop {
-        let is_told = tokio::select! {
-            told = hangups.recv() => told.is_some(),
-            () = tokio::time::sleep(PERIOD) => false,
+        let is_signalled = tokio::select! {
+            signal = hangups.recv() => signal.is_some(),
+            () = tokio::time::sleep(CHECK_PERIOD) => false,
         };
-        reload(&edge, is_told);
+        reload(&edge, is_signalled);
     }
 }
 
-fn reload(edge: &edge::Edge, is_told: bool) {
+fn reload(edge: &edge::Edge, is_signalled: bool) {
     let old = edge.settings();
     match settings::load() {
         Ok(new) if new == *old => {
-            if is_told {
-                tracing::info!("edge: settings read again, nothing new");
+            if is_signalled {
+                tracing::info!("edge: settings read again without changes");
             }
         }
         Ok(new) => {
-            let is_moved = new.frontend_addr != old.frontend_addr
+            let addresses_changed = new.frontend_addr != old.frontend_addr
                 || new.ready_addr != old.ready_addr
                 || new.ip != old.ip;
-            if is_moved {
+            if addresses_changed {
                 tracing::warn!("edge: addresses in the settings changed; restart to use them");
             }
             tracing::info!(seeds = ?new.seeds, "edge: settings read again and in force");
