--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the entry's process.
+//! Starts, serves and drains an entry.
 
 use std::{sync, sync::atomic, time};
 
@@ -11,15 +11,16 @@
 
 use crate::{edge, ingress, leader, ledger, peers, reload, watch};
 
-/// Connections from callers at once; descriptors are left for servers and the store.
-const CONNECTIONS: usize = 2_000;
-/// Callers reuse connections that have been idle for up to 12 s.
-const IDLE_TIME: time::Duration = time::Duration::from_secs(20);
-/// Most bytes of headers that are read; the config's limit lies below it.
-const HEADER_BYTES: usize = 64 * 1024;
-/// Time before the platform's kill that is left to end.
-const LAST: time::Duration = time::Duration::from_millis(300);
-const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
+/// Maximum number of connections from callers; leaves file descriptors for servers and the store.
+const MAX_CONNECTIONS: usize = 2_000;
+/// Timeout of idle connections; callers reuse connections that were idle for up to 12 s.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Maximum size of the headers of a request in bytes; the limit in the config is lower.
+const MAX_HEADER_BYTES: usize = 64 * 1024;
+/// Time reserved for the last usage record before the platform kills the process.
+const KILL_MARGIN: time::Duration = time::Duration::from_millis(300);
+/// Interval between checks of a drain.
+const DRAIN_POLL: time::Duration = time::Duration::from_millis(20);
 
 /// Runs an entry until a stop signal, then drains it.
 ///
@@ -45,16 +46,16 @@
     let (snapshots, shares) =
         server::bind_tcp_and_udp(peers::address(&edge, edge.settings().ip)).await?;
     let shares = sync::Arc::new(shares);
-    let writing = tokio::spawn(ledger::run(edge.clone()));
+    let records = tokio::spawn(ledger::run(edge.clone()));
     tokio::spawn(peers::send_shares(edge.clone(), shares.clone()));
     tokio::spawn(peers::receive_shares(edge.clone(), shares));
     tokio::spawn(peers::serve_snapshots(edge.clone(), snapshots));
     tokio::spawn(peers::fetch_snapshots(edge.clone()));
     tokio::spawn(peers::discover(edge.clone()));
     let limits = server::Limits {
-        connections: CONNECTIONS,
-        header_timeout: IDLE_TIME,
-        header_bytes: HEADER_BYTES,
+        connections: MAX_CONNECTIONS,
+        header_timeout: IDLE_TIMEOUT,
+        header_bytes: MAX_HEADER_BYTES,
     };
     let shared = edge.clone();
     let (close, closing) = lock::watch::channel(false);
@@ -66,19 +67,19 @@
         let (shared, dropped) = (edge.clone(), dropped.clone());
         tokio::spawn(server::serve(listener, server::Limits::default(), move |request| {
             shared.counters.dropped_lines.set(dropped.count() as i64);
-            tell(shared.clone(), request)
+            respond(shared.clone(), request)
         }));
     }
     signals::wait_for_stop().await?;
     edge.stop();
     drain(&edge, &close, serving).await;
-    // A record that is being written must not come after the last one.
-    writing.abort();
+    // A write in progress must not replace the last record.
+    records.abort();
     ledger::finish(&edge).await;
     Ok(())
 }
 
-async fn tell(
+async fn respond(
     edge: sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
 ) -> Response<response::Body> {
@@ -90,29 +91,31 @@
     }
 }
 
-// New requests are served until the balancer has noticed. Then connections end with the request
-// in flight, and idle ones at once. At last no connection is taken any more, so that what comes
-// while the last record is written is not cut off.
+// New requests are served until the balancer has stopped sending them. Then busy connections close
+// after the request in flight, and idle ones at once. Finally no connection is accepted, so that
+// none is cut off while the last record is written.
 async fn drain(
     edge: &edge::Edge,
     close: &lock::watch::Sender<bool>,
     serving: task::JoinHandle<()>,
 ) {
     let open = || edge.open_requests.load(atomic::Ordering::Relaxed);
-    let start = clock::now();
-    let most = edge.settings().grace.saturating_sub(LAST);
+    let started_at = clock::now();
+    let limit = edge.settings().grace.saturating_sub(KILL_MARGIN);
     tracing::info!(open = open(), "edge: stopping");
     tokio::time::sleep(edge::BALANCER_DELAY).await;
     close.send_replace(true);
-    let wait = async |taking: usize| {
-        while clock::now() - start < most && (open() > 0 || close.receiver_count() > taking) {
-            tokio::time::sleep(DRAIN_STEP).await;
+    let wait = async |receivers: usize| {
+        while clock::now() - started_at < limit
+            && (open() > 0 || close.receiver_count() > receivers)
+        {
+            tokio::time::sleep(DRAIN_POLL).await;
         }
     };
-    // The listener counts as a receiver.
+    // The accept loop keeps one receiver.
     wait(1).await;
     serving.abort();
     wait(0).await;
-    let waited_ms = (clock::now() - start).as_millis() as u64;
+    let waited_ms = (clock::now() - started_at).as_millis() as u64;
     tracing::info!(open = open(), waited_ms, "edge: stopped");
 }
