--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -4,15 +4,15 @@
 
 use rhubarb_node::metrics;
 
-/// Counters, gauges and latency histograms.
+/// Registry and the metrics in it.
 #[derive(Debug)]
 pub(crate) struct Counters {
     pub(crate) registry: metrics::Metrics,
     pub(crate) requests: metrics::RequestMetrics,
-    pub(crate) version: gauge::Gauge,
+    pub(crate) config_version: gauge::Gauge,
     pub(crate) peers: gauge::Gauge,
-    pub(crate) shares: counter::Counter,
-    pub(crate) share_bytes: counter::Counter,
+    pub(crate) shares_sent: counter::Counter,
+    pub(crate) bytes_sent: counter::Counter,
     pub(crate) engine_full: counter::Counter,
     pub(crate) dropped_lines: gauge::Gauge,
     pub(crate) plain_time: histogram::Histogram,
@@ -24,10 +24,10 @@
         let registry = metrics::Metrics::new("rhubarb_edge");
         Counters {
             requests: registry.requests(),
-            version: registry.gauge("config_version", "Version of the config in force"),
+            config_version: registry.gauge("config_version", "Version of the config in force"),
             peers: registry.gauge("peers", "Other entries that are heard"),
-            shares: registry.counter("shares_sent", "Datagrams sent to other entries"),
-            share_bytes: registry.counter("share_bytes_sent", "Bytes of these datagrams"),
+            shares_sent: registry.counter("shares_sent", "Datagrams sent to other entries"),
+            bytes_sent: registry.counter("share_bytes_sent", "Bytes of these datagrams"),
             engine_full: registry
                 .counter("engine_full", "Times that an engine had no memory to set aside"),
             dropped_lines: registry.gauge("log_lines_dropped", "Log lines not written in time"),
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -55,8 +55,8 @@
         for ip in targets {
             match socket.send_to(&bytes, address(&edge, ip)).await {
                 Ok(sent) => {
-                    edge.counters.shares.inc();
-                    edge.counters.share_bytes.inc_by(sent as u64);
+                    edge.counters.shares_sent.inc();
+                    edge.counters.bytes_sent.inc_by(sent as u64);
                 }
                 Err(err) => tracing::debug!(%ip, %err, "edge: state not sent to peer"),
             }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -140,7 +140,7 @@
         Ok(config) => {
             let (version, routes) = (config.version, config.routes.len());
             if edge.directory().set_config(config) {
-                edge.counters.version.set(version as i64);
+                edge.counters.config_version.set(version as i64);
                 tracing::info!(version, routes, "edge: config applied");
             }
         }
