--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -1,4 +1,4 @@
-//! State shared by the parts of an entry.
+//! State that the tasks of an entry share.
 
 use std::{sync, sync::atomic, time};
 
@@ -10,7 +10,7 @@
 
 use crate::{dates, directory, lag, links, metrics, orders};
 
-/// One entry.
+/// State of one entry.
 #[derive(Debug)]
 pub(crate) struct Edge {
     settings: sync::Mutex<sync::Arc<settings::Settings>>,
@@ -18,16 +18,17 @@
     pub(crate) store: store::Store,
     pub(crate) links: links::Links,
     pub(crate) counters: metrics::Counters,
-    /// Decode memory may have become free.
+    /// Notifies requests that wait for a decode slot that one may be free.
     pub(crate) slot_freed: lock::Notify,
-    /// What this entry has given to engines has changed.
+    /// Notifies the sender of commitments that this entry's commitments have changed.
     pub(crate) commitments_changed: lock::Notify,
-    /// A peer knows more than this entry.
+    /// Notifies the fetcher of snapshots that a peer has newer rows of the store.
     pub(crate) lag_detected: lock::Notify,
-    /// The store's feeds tell nothing, though something has changed.
+    /// Notifies the followers of the store that its feed does not deliver changes.
     pub(crate) feed_stalled: lock::Notify,
-    /// Tables of the store that do not answer now.
+    /// Number of tables that cannot be read from the store.
     pub(crate) unavailable_tables: atomic::AtomicU64,
+    /// Number of requests in progress.
     pub(crate) open_requests: atomic::AtomicU64,
     pub(crate) dates: dates::Dates,
     ledger: sync::Mutex<usage::Ledger>,
@@ -36,10 +37,11 @@
     orders: sync::Mutex<orders::Orders>,
     lag: sync::Mutex<lag::Lag>,
     run_seq: atomic::AtomicU64,
-    stopped_at: sync::OnceLock<time::Instant>,
+    stopping_since: sync::OnceLock<time::Instant>,
 }
 
-/// The balancer stops sending within two of its checks, which come once a second.
+/// Time after which the balancer has stopped sending: it needs two of its checks, which come once a
+/// second.
 pub(crate) const BALANCER_DELAY: time::Duration = time::Duration::from_millis(2_500);
 
 impl Edge {
@@ -66,17 +68,17 @@
             orders: sync::Mutex::default(),
             lag: sync::Mutex::default(),
             run_seq: atomic::AtomicU64::new(1),
-            stopped_at: sync::OnceLock::new(),
+            stopping_since: sync::OnceLock::new(),
             settings: sync::Mutex::new(sync::Arc::new(settings)),
         }
     }
 
-    /// Settings in force.
+    /// Settings in use.
     pub(crate) fn settings(&self) -> sync::Arc<settings::Settings> {
         locks::lock(&self.settings).clone()
     }
 
-    /// Puts settings that were read again in force.
+    /// Applies reloaded settings.
     pub(crate) fn set_settings(&self, settings: settings::Settings) {
         self.directory().set_allowance(settings.allowance);
         *locks::lock(&self.settings) = sync::Arc::new(settings);
@@ -86,7 +88,7 @@
         locks::lock(&self.directory)
     }
 
-    /// What callers got.
+    /// Totals for the usage records.
     pub(crate) fn ledger(&self) -> sync::MutexGuard<'_, usage::Ledger> {
         locks::lock(&self.ledger)
     }
@@ -95,7 +97,7 @@
         locks::lock(&self.members)
     }
 
-    /// Orders to engines that are being carried out.
+    /// Open orders to engines.
     pub(crate) fn orders(&self) -> sync::MutexGuard<'_, orders::Orders> {
         locks::lock(&self.orders)
     }
@@ -105,27 +107,29 @@
         locks::lock(&self.lag)
     }
 
-    /// Id for a new run.
+    /// Returns the id of a new run.
     pub(crate) fn next_run(&self) -> ids::RunId {
         ids::run_id(self.incarnation, self.run_seq.fetch_add(1, atomic::Ordering::Relaxed))
     }
 
-    /// Whether the balancer may send new connections.
+    /// Whether the balancer may send new connections; the readiness check reports it.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.directory().is_complete()
     }
 
-    /// Starts to leave.
+    /// Starts the planned stop.
     pub(crate) fn stop(&self) {
-        self.stopped_at.get_or_init(clock::now);
+        self.stopping_since.get_or_init(clock::now);
     }
 
-    /// Whether the time for long requests before the end has passed.
+    /// Whether the entry is stopping and the balancer no longer sends to it, so that new streams are
+    /// rejected.
     pub(crate) fn is_out_of_rotation(&self) -> bool {
-        self.stopped_at.get().is_some_and(|at| clock::now() >= *at + BALANCER_DELAY)
+        self.stopping_since.get().is_some_and(|at| clock::now() >= *at + BALANCER_DELAY)
     }
 
+    /// Whether the entry is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stopped_at.get().is_some()
+        self.stopping_since.get().is_some()
     }
 }
