--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
 //! Entry of rhubarbloom on the users' platform.
 //!
-//! Callers' requests come in, are placed by the decisions of `rhubarb_core`, and go straight to
-//! the backend servers. What is known of routes and servers comes from the platform's store and
-//! from the other entries.
+//! It accepts the requests of callers, chooses servers with the policies of `rhubarb_core` and
+//! forwards the requests directly to these backend servers. Routes and servers are read from the
+//! platform's store or copied from other entries.
 //!
 //! ```
 //! use rhubarb_platform::settings;
