--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -17,7 +17,7 @@
         return Ok(());
     }
     let (_guard, dropped) = logs::start_stdout(logs::Level::Info);
-    // Instances have one core.
+    // A single-threaded runtime: instances have one core.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(rhubarb_edge::run(settings, dropped))
 }
