--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -122,7 +122,7 @@
         self.stopping_since.get_or_init(clock::now);
     }
 
-    /// Whether the entry is stopping and the balancer no longer sends to it, so that new streams are
+    /// Whether the entry is stopping and the balancer no longer sends to it; new streams are then
     /// rejected.
     pub(crate) fn is_out_of_rotation(&self) -> bool {
         self.stopping_since.get().is_some_and(|at| clock::now() >= *at + BALANCER_DELAY)
