--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -66,7 +66,7 @@
         sends: u32,
         reason: outcome::Reason,
     ) -> bool {
-        let taken = self.edge.directory().take_repeats(&self.service, sends, clock::now());
+        let taken = self.edge.directory().spend_repeats(&self.service, sends, clock::now());
         if taken {
             self.edge
                 .counters
@@ -94,13 +94,13 @@
 
 impl Open {
     pub(crate) fn new(edge: &sync::Arc<edge::Edge>) -> Open {
-        edge.open.fetch_add(1, atomic::Ordering::Relaxed);
+        edge.open_requests.fetch_add(1, atomic::Ordering::Relaxed);
         Open(edge.clone())
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, atomic::Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -50,7 +50,7 @@
     let Some(service) = route.service(rand::random()).cloned() else {
         return early(Refusal::not_run(Reason::NoServer, CONFIG_RETRY));
     };
-    if edge.is_ending() && matches!(route.kind, routing::Kind::Stream { .. }) {
+    if edge.is_out_of_rotation() && matches!(route.kind, routing::Kind::Stream { .. }) {
         return early(Refusal::not_run(Reason::Leaving, ELSEWHERE));
     }
     let limit = config.limits.body_bytes;
@@ -61,7 +61,7 @@
         return early(Refusal::permanent(Reason::BadRequest));
     };
     let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let returned = edge.directory().note_asked(&service, &route.name, patience);
+    let returned = edge.directory().record_request(&service, &route.name, patience);
     start(call::Call {
         returned,
         edge: edge.clone(),
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -139,7 +139,7 @@
         responder::WaitOutcome::Event(Ok(read)) => take(call, &target, &read),
     };
     let end = result.as_ref().map_or_else(
-        |refusal| directory::bad_end(refusal.reason),
+        |refusal| directory::failure_outcome(refusal.reason),
         |_| pool::ServerOutcome::Unknown,
     );
     note_end(call, &target.id, end);
@@ -191,7 +191,7 @@
     let allowed = |id: &str| sound.iter().any(|other| *other == id);
     let (id, expected) = engines.pick_prefill(tokens, zone, allowed, rand::random(), now)?;
     service.engines.record_prefill(&id, tokens, now);
-    call.edge.given.notify_one();
+    call.edge.commitments_changed.notify_one();
     Some((directory.target(&id)?, expected))
 }
 
