--- /dev/null
+++ b/crates/edge/src/connections.rs
@@ -0,0 +1,196 @@
+//! Connections to backend servers.
+
+use std::{collections, fmt, io, net, sync, time};
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{Request, Response, body, client::conn::http1, header};
+use hyper_util::rt;
+use tokio::net as tcp;
+
+use rhubarb_node::{clock, locks};
+use rhubarb_platform::response;
+
+/// Idle connections by server address.
+#[derive(Debug, Default)]
+pub(crate) struct ConnectionPool {
+    idle: sync::Mutex<collections::BTreeMap<net::SocketAddr, Vec<Connection>>>,
+}
+
+/// Connection to a server, closed when dropped.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    sender: http1::SendRequest<Full<Bytes>>,
+    address: net::SocketAddr,
+    idle_until: time::Instant,
+}
+
+/// Response whose body has not been read yet, and its connection.
+#[derive(Debug)]
+pub(crate) struct PendingResponse {
+    pub(crate) response: Response<body::Incoming>,
+    pub(crate) connection: Connection,
+}
+
+/// Reason why a request got no response.
+#[derive(Debug)]
+pub(crate) enum SendError {
+    /// No byte of the request was written.
+    Unsent(String),
+    /// The connection was lost after the request may have reached the server.
+    ConnectionLost(String),
+}
+
+impl fmt::Display for SendError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SendError::Unsent(err) => write!(f, "not sent: {err}"),
+            SendError::ConnectionLost(err) => write!(f, "connection lost: {err}"),
+        }
+    }
+}
+
+/// Timeout for opening a connection. A reachable server accepts within milliseconds; the rest is
+/// for one retransmission of the first packet.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
+/// A connection fails when sent data stays unacknowledged for this long.
+const UNACKED_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
+/// Idle time before the first keepalive probe, and interval between probes.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Consecutive unanswered probes after which a connection fails.
+const MAX_PROBES: u32 = 2;
+/// Time for which an idle connection is kept if the server advertises no idle timeout.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(3);
+/// Subtracted from an advertised idle timeout, since a server may close a connection this much
+/// earlier.
+const IDLE_MARGIN: time::Duration = time::Duration::from_millis(900);
+/// Maximum number of idle connections per server.
+const MAX_IDLE: usize = 16;
+
+impl ConnectionPool {
+    /// Sends `request` on an idle or a new connection and waits for the head of the response.
+    pub(crate) async fn send(
+        &self,
+        address: net::SocketAddr,
+        mut request: Request<Full<Bytes>>,
+    ) -> Result<PendingResponse, SendError> {
+        if !request.headers().contains_key(header::HOST)
+            && let Ok(host) = header::HeaderValue::from_str(&address.to_string())
+        {
+            request.headers_mut().insert(header::HOST, host);
+        }
+        while let Some(mut connection) = self.checkout(address) {
+            match connection.send(request).await {
+                Ok(response) => return Ok(PendingResponse { response, connection }),
+                Err((Some(unsent), _)) => request = unsent,
+                Err((None, err)) => return Err(SendError::ConnectionLost(err)),
+            }
+        }
+        let mut connection =
+            connect(address).await.map_err(|err| SendError::Unsent(err.to_string()))?;
+        match connection.send(request).await {
+            Ok(response) => Ok(PendingResponse { response, connection }),
+            Err((Some(_), err)) => Err(SendError::Unsent(err)),
+            Err((None, err)) => Err(SendError::ConnectionLost(err)),
+        }
+    }
+
+    fn checkout(&self, address: net::SocketAddr) -> Option<Connection> {
+        let mut idle = locks::lock(&self.idle);
+        let connections = idle.get_mut(&address)?;
+        let now = clock::now();
+        // The most recently used first, so that surplus connections expire.
+        while let Some(connection) = connections.pop() {
+            if connection.idle_until > now && connection.sender.is_ready() {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection to the pool after its response was read to the end.
+    pub(crate) fn put_back(
+        &self,
+        mut connection: Connection,
+        idle_timeout: Option<time::Duration>,
+    ) {
+        let timeout =
+            idle_timeout.map_or(IDLE_TIMEOUT, |timeout| timeout.saturating_sub(IDLE_MARGIN));
+        if connection.sender.is_closed() || timeout.is_zero() {
+            return;
+        }
+        connection.idle_until = clock::now() + timeout;
+        let mut idle = locks::lock(&self.idle);
+        let connections = idle.entry(connection.address).or_default();
+        connections.push(connection);
+        if connections.len() > MAX_IDLE {
+            connections.remove(0);
+        }
+    }
+
+    /// Closes all idle connections, whose state is unknown after a suspension of the process.
+    pub(crate) fn drop_idle(&self) {
+        locks::lock(&self.idle).clear();
+    }
+
+    /// Closes connections whose idle time has expired.
+    pub(crate) fn sweep(&self) {
+        let now = clock::now();
+        let mut idle = locks::lock(&self.idle);
+        for connections in idle.values_mut() {
+            connections
+                .retain(|connection| connection.idle_until > now && !connection.sender.is_closed());
+        }
+        idle.retain(|_, connections| !connections.is_empty());
+    }
+}
+
+impl Connection {
+    async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<body::Incoming>, (Option<Request<Full<Bytes>>>, String)> {
+        if let Err(err) = self.sender.ready().await {
+            return Err((Some(request), err.to_string()));
+        }
+        self.sender.try_send_request(request).await.map_err(|mut err| {
+            let unsent = err.take_message();
+            (unsent, err.into_error().to_string())
+        })
+    }
+}
+
+async fn connect(address: net::SocketAddr) -> io::Result<Connection> {
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, tcp::TcpStream::connect(address));
+    let stream =
+        connecting.await.map_err(|_| io::Error::other("connection attempt timed out"))??;
+    set_options(&stream)?;
+    // Closing discards unsent data, so that an abandoned request does not arrive after a network
+    // partition has healed.
+    socket2::SockRef::from(&stream).set_linger(Some(time::Duration::ZERO))?;
+    let (sender, connection) =
+        http1::handshake(rt::TokioIo::new(stream)).await.map_err(io::Error::other)?;
+    tokio::spawn(async move {
+        if let Err(err) = connection.await {
+            tracing::debug!("edge: connection to {address} ended: {err}");
+        }
+    });
+    Ok(Connection { sender, address, idle_until: clock::now() })
+}
+
+/// Sets options that make a connection to an unresponsive peer fail instead of hang.
+pub(crate) fn set_options(stream: &tcp::TcpStream) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = socket2::SockRef::from(stream);
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
+    let probes = socket2::TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(MAX_PROBES);
+    socket.set_tcp_keepalive(&probes)
+}
+
+/// Idle timeout that the server advertises for the connection of this response.
+pub(crate) fn idle_timeout(response: &Response<body::Incoming>) -> Option<time::Duration> {
+    response::idle_limit(response.headers())
+}
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::{client, clock, locks};
 use rhubarb_platform::{settings, store};
 
-use crate::{ahead, dates, directory, links, metrics, orders};
+use crate::{ahead, connections, dates, directory, metrics, orders};
 
 /// One entry.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     settings: sync::Mutex<sync::Arc<settings::Settings>>,
     pub(crate) incarnation: ids::Incarnation,
     pub(crate) store: store::Store,
-    pub(crate) links: links::Links,
+    pub(crate) links: connections::ConnectionPool,
     pub(crate) counters: metrics::Counters,
     /// Decode memory may have become free.
     pub(crate) room_freed: lock::Notify,
@@ -53,7 +53,7 @@
             dates,
             ledger: sync::Mutex::new(ledger),
             store,
-            links: links::Links::default(),
+            links: connections::ConnectionPool::default(),
             counters: metrics::Counters::new(),
             room_freed: lock::Notify::new(),
             given: lock::Notify::new(),
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -8,7 +8,7 @@
 
 use rhubarb_node::response;
 
-use crate::links;
+use crate::connections;
 
 /// Most bytes of an answer that is held until it is whole.
 const MAX_ANSWER: usize = 16 * 1024 * 1024;
@@ -29,21 +29,24 @@
 
 /// Sends a request and reads the whole answer.
 pub(crate) async fn fetch(
-    links: &links::Links,
+    links: &connections::ConnectionPool,
     address: net::SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Read, links::SendError> {
+) -> Result<Read, connections::SendError> {
     let answered = links.send(address, request).await?;
     Ok(read_whole(links, answered).await)
 }
 
 /// Reads an answer to its end and keeps its connection.
-pub(crate) async fn read_whole(links: &links::Links, answered: links::Answered) -> Read {
-    let told = links::told_limit(&answered.response);
+pub(crate) async fn read_whole(
+    links: &connections::ConnectionPool,
+    answered: connections::PendingResponse,
+) -> Read {
+    let told = connections::idle_timeout(&answered.response);
     let (parts, body) = answered.response.into_parts();
     let body = response::read_body(body, MAX_ANSWER).await;
     if body.is_some() {
-        links.keep(answered.link, told);
+        links.put_back(answered.connection, told);
     }
     Read { head: Response::from_parts(parts, ()), body }
 }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -8,7 +8,7 @@
 use rhubarb_platform::store;
 use rhubarb_wire::share;
 
-use crate::{ahead, edge, links, watch};
+use crate::{ahead, connections, edge, watch};
 
 /// Peers are told at least this often, as a sign of life.
 const TELL_PERIOD: time::Duration = time::Duration::from_millis(300);
@@ -185,7 +185,7 @@
     stream: &mut tcp::TcpStream,
     snapshot: &share::Snapshot,
 ) -> anyhow::Result<()> {
-    links::set_options(stream)?;
+    connections::set_options(stream)?;
     io::AsyncWriteExt::write_all(stream, &snapshot.encode()?).await?;
     io::AsyncWriteExt::shutdown(stream).await?;
     Ok(())
@@ -220,7 +220,7 @@
 
 async fn fetch(from: net::SocketAddr) -> anyhow::Result<share::Snapshot> {
     let stream = tcp::TcpStream::connect(from).await?;
-    links::set_options(&stream)?;
+    connections::set_options(&stream)?;
     let mut bytes = Vec::new();
     let mut limited = io::AsyncReadExt::take(stream, share::MAX_SNAPSHOT_BYTES as u64);
     io::AsyncReadExt::read_to_end(&mut limited, &mut bytes).await?;
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -11,7 +11,7 @@
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
-use crate::{call, directory, exchange, links, refuse};
+use crate::{call, connections, directory, exchange, refuse};
 
 /// A repeatable request goes to another server after this multiple of its target.
 const PATIENCE: f64 = 1.5;
@@ -136,11 +136,11 @@
             responder::WaitOutcome::Expired => {
                 Attempt::Failed(Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
             }
-            responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
+            responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: not sent");
                 Attempt::Failed(Refusal::not_run(Reason::NoServer, RETRY_SOON))
             }
-            responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
+            responder::WaitOutcome::Event(Err(connections::SendError::ConnectionLost(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: broke off");
                 Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON))
             }
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -8,7 +8,7 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
-use crate::{call, cleanup, directory, edge, exchange, ledger, links};
+use crate::{call, cleanup, connections, directory, edge, exchange, ledger};
 
 /// The KV cache of a prompt at the engine that read it; freed when dropped before it is taken.
 #[derive(Debug)]
@@ -127,12 +127,12 @@
     let result = match waited {
         responder::WaitOutcome::Disconnected => return Read::Gone,
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
-        responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
+        responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill not sent");
             note_end(call, &target.id, pool::ServerOutcome::Failure(Reason::NoServer));
             return Read::Unsent(target.id);
         }
-        responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
+        responder::WaitOutcome::Event(Err(connections::SendError::ConnectionLost(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill broke off");
             Err(Refusal::not_run(Reason::LostContact, RETRY_SOON))
         }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -11,7 +11,7 @@
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
-use crate::{call, directory, exchange, links, prefill, reader, refuse, room};
+use crate::{call, connections, directory, exchange, prefill, reader, refuse, room};
 
 /// One model request on its way.
 #[derive(Debug)]
@@ -245,11 +245,11 @@
         Sent::Yes(match self.reply.wait(sending, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
-            responder::WaitOutcome::Event(Err(links::SendError::Unsent(err))) => {
+            responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: not sent");
                 return Sent::No(Reason::NoServer);
             }
-            responder::WaitOutcome::Event(Err(links::SendError::Broken(err))) => {
+            responder::WaitOutcome::Event(Err(connections::SendError::ConnectionLost(err))) => {
                 tracing::info!(id = self.call.id(), server = target.id, err, "edge: broke off");
                 self.broken(&target.id, Reason::LostContact)
             }
@@ -273,7 +273,11 @@
         }
     }
 
-    async fn take(&mut self, server: &ids::ServerName, answered: links::Answered) -> flow::Event {
+    async fn take(
+        &mut self,
+        server: &ids::ServerName,
+        answered: connections::PendingResponse,
+    ) -> flow::Event {
         match forms::classify(&answered.response, self.call.head.attempt.as_ref()) {
             forms::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
@@ -300,7 +304,7 @@
     async fn not_admitted(
         &mut self,
         server: &ids::ServerName,
-        answered: links::Answered,
+        answered: connections::PendingResponse,
     ) -> flow::Event {
         exchange::read_whole(&self.call.edge.links, answered).await;
         if let Some(cache) = &self.cache {
@@ -314,7 +318,7 @@
     async fn pass_failure(
         &mut self,
         server: &ids::ServerName,
-        answered: links::Answered,
+        answered: connections::PendingResponse,
     ) -> flow::Event {
         let edge = self.call.edge.clone();
         let reading = exchange::read_whole(&edge.links, answered);
@@ -334,10 +338,10 @@
     async fn pass_events(
         &mut self,
         server: &ids::ServerName,
-        answered: links::Answered,
+        answered: connections::PendingResponse,
     ) -> flow::Event {
         let head = forms::forwarded_head(&answered.response);
-        let told = links::told_limit(&answered.response);
+        let told = connections::idle_timeout(&answered.response);
         let mut reader = reader::Reader::new(answered.response.into_body());
         loop {
             let event = match self.reply.wait(reader.next(), self.silence_ends()).await {
@@ -355,7 +359,7 @@
                     return self.broken(server, Reason::LostContact);
                 }
                 responder::WaitOutcome::Event(reader::Piece::End) => {
-                    self.call.edge.links.keep(answered.link, told);
+                    self.call.edge.links.put_back(answered.connection, told);
                     return flow::Event::Ended;
                 }
                 responder::WaitOutcome::Event(reader::Piece::Event(event)) => event,
