--- a/crates/edge/src/duty.rs
+++ b/crates/edge/src/duty.rs
@@ -155,7 +155,7 @@
     status != Some(StatusCode::PRECONDITION_FAILED)
 }
 
-fn read_state(id: &str, read: &exchange::Read) -> Option<engine::EngineState> {
+fn read_state(id: &str, read: &exchange::BufferedResponse) -> Option<engine::EngineState> {
     let body = read.body.as_ref().filter(|_| read.is_success())?;
     match engine::read_report(body) {
         Ok(state) => Some(state),
@@ -170,7 +170,7 @@
     edge: &edge::Edge,
     target: &directory::Target,
     request: Request<Full<Bytes>>,
-) -> Option<exchange::Read> {
+) -> Option<exchange::BufferedResponse> {
     let path = request.uri().path().to_string();
     let calling = exchange::fetch(&edge.links, target.address, request);
     match tokio::time::timeout(CALL_LIMIT, calling).await {
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A request to a server and its whole answer.
+//! Requests to servers whose responses are read to the end.
 
 use std::net;
 
@@ -10,43 +10,43 @@
 
 use crate::connections;
 
-/// Most bytes of an answer that is held until it is whole.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// Maximum size of a buffered response body, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// An answer that has been read; no body where it broke off.
+/// Buffered response; without a body if that was interrupted or too large.
 #[derive(Debug)]
-pub(crate) struct Read {
+pub(crate) struct BufferedResponse {
     pub(crate) head: Response<()>,
     pub(crate) body: Option<Bytes>,
 }
 
-impl Read {
-    /// Whether the server did its part.
+impl BufferedResponse {
+    /// Whether the status is 200.
     pub(crate) fn is_success(&self) -> bool {
         self.head.status() == StatusCode::OK
     }
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the whole response.
 pub(crate) async fn fetch(
-    links: &connections::ConnectionPool,
+    pool: &connections::ConnectionPool,
     address: net::SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Read, connections::SendError> {
-    let answered = links.send(address, request).await?;
-    Ok(read_whole(links, answered).await)
+) -> Result<BufferedResponse, connections::SendError> {
+    let pending = pool.send(address, request).await?;
+    Ok(read_all(pool, pending).await)
 }
 
-/// Reads an answer to its end and keeps its connection.
-pub(crate) async fn read_whole(
-    links: &connections::ConnectionPool,
-    answered: connections::PendingResponse,
-) -> Read {
-    let told = connections::idle_timeout(&answered.response);
-    let (parts, body) = answered.response.into_parts();
-    let body = response::read_body(body, MAX_ANSWER).await;
+/// Reads a response to the end and returns its connection to the pool.
+pub(crate) async fn read_all(
+    pool: &connections::ConnectionPool,
+    pending: connections::PendingResponse,
+) -> BufferedResponse {
+    let idle_timeout = connections::idle_timeout(&pending.response);
+    let (parts, body) = pending.response.into_parts();
+    let body = response::read_body(body, MAX_BODY_BYTES).await;
     if body.is_some() {
-        links.put_back(answered.connection, told);
+        pool.put_back(pending.connection, idle_timeout);
     }
-    Read { head: Response::from_parts(parts, ()), body }
+    BufferedResponse { head: Response::from_parts(parts, ()), body }
 }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -152,7 +152,7 @@
         &mut self,
         target: &directory::Target,
         sent_at: time::Instant,
-        read: exchange::Read,
+        read: exchange::BufferedResponse,
     ) -> Attempt {
         if let Some(load) = forms::reported_load(read.head.headers()) {
             let mut directory = self.call.edge.directory();
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -198,7 +198,7 @@
 fn take(
     call: &call::Call,
     target: &directory::Target,
-    read: &exchange::Read,
+    read: &exchange::BufferedResponse,
 ) -> Result<engine::Prefilled, Refusal> {
     let proof = forms::classify(&read.head, call.head.attempt.as_ref());
     match proof {
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -306,7 +306,7 @@
         server: &ids::ServerName,
         answered: connections::PendingResponse,
     ) -> flow::Event {
-        exchange::read_whole(&self.call.edge.links, answered).await;
+        exchange::read_all(&self.call.edge.links, answered).await;
         if let Some(cache) = &self.cache {
             let lapsed = pool::ServerOutcome::Failure(Reason::LostContact);
             prefill::note_end(&self.call, &cache.server, lapsed);
@@ -321,13 +321,14 @@
         answered: connections::PendingResponse,
     ) -> flow::Event {
         let edge = self.call.edge.clone();
-        let reading = exchange::read_whole(&edge.links, answered);
+        let reading = exchange::read_all(&edge.links, answered);
         match self.reply.wait(reading, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
-            responder::WaitOutcome::Event(exchange::Read { head, body: Some(body) })
-                if !self.reply.has_started() =>
-            {
+            responder::WaitOutcome::Event(exchange::BufferedResponse {
+                head,
+                body: Some(body),
+            }) if !self.reply.has_started() => {
                 self.reply.respond(forms::forwarded_head(&head).map(|()| response::full(body)));
                 flow::Event::Ended
             }
