--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -30,7 +30,7 @@
 mod reader;
 mod refuse;
 mod reload;
-mod room;
+mod reservation;
 mod rows;
 mod run;
 mod stream;
--- /dev/null
+++ b/crates/edge/src/reservation.rs
@@ -0,0 +1,273 @@
+//! Reservations of a slot and memory at a decode engine.
+
+use std::{sync, time};
+
+use hyper::StatusCode;
+
+use rhubarb_core::{engine, engines, fleet, ids, outcome, pool};
+use rhubarb_node::{clock, responder};
+use rhubarb_platform::engine as calls;
+
+use outcome::{Reason, Refusal};
+
+use crate::{call, cleanup, directory, edge, exchange, prefill};
+
+/// Slot and memory of one request at a decode engine, released when dropped.
+#[derive(Debug)]
+pub(crate) struct Reservation {
+    edge: sync::Arc<edge::Edge>,
+    service: ids::ServiceName,
+    pub(crate) target: directory::Target,
+    run: ids::RunId,
+    hold: Option<String>,
+}
+
+impl Reservation {
+    /// Records the number of events that the run has generated.
+    pub(crate) fn record_progress(&self, events: u64) {
+        let mut directory = self.edge.directory();
+        let tokens = directory.event_tokens(&self.service);
+        let generated = u32::try_from(events).unwrap_or(u32::MAX).saturating_mul(tokens);
+        let engines = &mut directory.service(&self.service).engines;
+        engines.record_progress(&self.target.id, self.run, generated);
+    }
+
+    /// Name of the engine's hold, which the request uses when it is sent.
+    pub(crate) fn hold(&self) -> Option<&str> {
+        self.hold.as_deref()
+    }
+
+    /// Records that a request used the hold, so that dropping the reservation does not release it.
+    pub(crate) fn set_hold_used(&mut self) {
+        self.hold = None;
+    }
+}
+
+impl Drop for Reservation {
+    fn drop(&mut self) {
+        if let Some(hold) = self.hold.take() {
+            let (edge, address) = (self.edge.clone(), self.target.address);
+            let request = calls::release_hold(&hold);
+            tokio::spawn(async move { cleanup::send(&edge, address, request).await });
+        }
+        let mut directory = self.edge.directory();
+        let engines = &mut directory.service(&self.service).engines;
+        engines.release(&self.target.id, self.run, clock::now());
+        drop(directory);
+        self.edge.room_freed.notify_waiters();
+        self.edge.given.notify_one();
+    }
+}
+
+/// How long and with which precedence a request waits for a slot.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WaitLimit {
+    /// Whether it can no longer meet its latency target; it is served after all that can.
+    pub(crate) overdue: bool,
+    /// Time after which a slot is of no use.
+    pub(crate) until: time::Instant,
+}
+
+impl WaitLimit {
+    /// Limit of a request that can still meet its latency target.
+    pub(crate) fn until(until: time::Instant) -> WaitLimit {
+        WaitLimit { overdue: false, until }
+    }
+}
+
+/// Result of a request for a slot.
+#[derive(Debug)]
+pub(crate) enum ReserveResult {
+    /// A slot is reserved.
+    Granted(Reservation),
+    /// No slot became free in time.
+    Refused(Refusal),
+    /// The caller closed its connection.
+    Disconnected,
+}
+
+/// Timeout of a request for a hold; a candidates engine responds within milliseconds.
+const HOLD_TIMEOUT: time::Duration = time::Duration::from_millis(250);
+/// Typical error of the expected wait, in either direction.
+const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_000);
+/// Interval at which a waiting request checks for slots released by other entries.
+const RECHECK_INTERVAL: time::Duration = time::Duration::from_millis(50);
+/// Shortest and longest delay before a refused caller retries, in seconds. Bursts last seconds, so
+/// the retries of callers that are refused together are spread over as long.
+const RETRY_RANGE_S: (f64, f64) = (2.0, 4.5);
+
+/// Refusal of a request that gets no slot.
+pub(crate) fn no_slot() -> Refusal {
+    let (min, max) = RETRY_RANGE_S;
+    let seconds = min + (max - min) * rand::random::<f64>();
+    Refusal::not_run(Reason::NoRoom, time::Duration::from_secs_f64(seconds))
+}
+
+/// Reserves a slot within `limit`, preferably at an engine that was not `tried`; makes at least one
+/// attempt.
+pub(crate) async fn reserve(
+    call: &call::Call,
+    reply: &mut responder::Responder,
+    need: engine::Need,
+    tried: &[ids::ServerName],
+    limit: WaitLimit,
+) -> ReserveResult {
+    let WaitLimit { overdue, until } = limit;
+    let position = engines::Position { overdue, arrived: call.arrived, run: call.edge.next_run() };
+    let _ticket = QueueTicket { call, position };
+    if is_queue_too_long(call, until) {
+        return ReserveResult::Refused(no_slot());
+    }
+    let mut tried = tried.to_vec();
+    loop {
+        let slot_freed = call.edge.room_freed.notified();
+        while let Some(mut reservation) = try_reserve(call, position, need, &tried) {
+            match reply.wait(request_hold(call, &mut reservation, need), call.deadline).await {
+                responder::WaitOutcome::Event(HoldResult::Held) => {
+                    log_estimate(call, &reservation.target.id, need, "edge: slot reserved");
+                    return ReserveResult::Granted(reservation);
+                }
+                responder::WaitOutcome::Event(HoldResult::Full) => {}
+                responder::WaitOutcome::Event(HoldResult::Unavailable) => {
+                    tried.push(reservation.target.id.clone())
+                }
+                responder::WaitOutcome::Disconnected => return ReserveResult::Disconnected,
+                responder::WaitOutcome::Expired => break,
+            }
+        }
+        if clock::now() >= until {
+            return ReserveResult::Refused(no_slot());
+        }
+        let wake_at = until.min(clock::now() + RECHECK_INTERVAL);
+        if let responder::WaitOutcome::Disconnected = reply.wait(slot_freed, wake_at).await {
+            return ReserveResult::Disconnected;
+        }
+    }
+}
+
+enum HoldResult {
+    Held,
+    Full,
+    Unavailable,
+}
+
+// Requests a hold on the engine's memory, if the service has holds.
+async fn request_hold(
+    call: &call::Call,
+    reservation: &mut Reservation,
+    need: engine::Need,
+) -> HoldResult {
+    let Some(ttl) = hold_ttl(call) else { return HoldResult::Held };
+    let id = reservation.target.id.clone();
+    let request = calls::create_hold(&id, need.charge(), ttl);
+    let sending = exchange::fetch(&call.edge.links, reservation.target.address, request);
+    let response = match tokio::time::timeout(HOLD_TIMEOUT, sending).await {
+        Ok(Ok(response)) => response,
+        Ok(Err(err)) => {
+            tracing::info!(id = call.id(), server = id, %err, "edge: hold request failed");
+            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
+            return HoldResult::Unavailable;
+        }
+        Err(_) => {
+            tracing::info!(id = call.id(), server = id, "edge: hold request timed out");
+            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
+            return HoldResult::Unavailable;
+        }
+    };
+    let body = response.body.as_ref().filter(|_| response.is_success());
+    match body.map(|body| calls::read_hold(body)) {
+        Some(Ok(hold)) => {
+            reservation.hold = Some(hold);
+            HoldResult::Held
+        }
+        Some(Err(err)) => {
+            tracing::warn!(id = call.id(), server = id, %err, "edge: invalid hold response");
+            HoldResult::Unavailable
+        }
+        None if response.head.status() == StatusCode::SERVICE_UNAVAILABLE => {
+            log_estimate(call, &id, need, "edge: engine is full");
+            call.edge.counters.engine_full.inc();
+            let mut directory = call.edge.directory();
+            directory.service(&call.service).engines.set_full(&id, clock::now());
+            HoldResult::Full
+        }
+        None => {
+            let status = response.head.status().as_u16();
+            tracing::info!(id = call.id(), server = id, status, "edge: hold refused");
+            HoldResult::Unavailable
+        }
+    }
+}
+
+// Logs the estimated memory use of the engine that was chosen for a request.
+fn log_estimate(call: &call::Call, server: &str, need: engine::Need, message: &str) {
+    let mut directory = call.edge.directory();
+    let estimate = directory.service(&call.service).engines.estimate(server, clock::now());
+    drop(directory);
+    tracing::info!(
+        id = call.id(),
+        server,
+        need = need.charge(),
+        fill = estimate.map(|estimate| estimate.fill),
+        report_age_ms = estimate.map(|estimate| estimate.age.as_millis() as u64),
+        returned = call.returned,
+        age_ms = call.age_ms(),
+        "{message}"
+    );
+}
+
+fn hold_ttl(call: &call::Call) -> Option<time::Duration> {
+    let config = call.edge.directory().config()?;
+    config.services.get(&call.service)?.engine.as_ref()?.hold_ttl
+}
+
+// Whether the expected wait exceeds the time that the request can wait.
+fn is_queue_too_long(call: &call::Call, until: time::Instant) -> bool {
+    let now = clock::now();
+    let mut directory = call.edge.directory();
+    let wait = directory.service(&call.service).engines.expected_wait(now);
+    let is_too_long = now + wait > until + WAIT_MARGIN;
+    if is_too_long {
+        let wait_ms = wait.as_millis() as u64;
+        let returned = call.returned;
+        tracing::info!(id = call.id(), wait_ms, returned, "edge: slot queue too long");
+    }
+    is_too_long
+}
+
+// Position of a request in the queue for slots, which it leaves when the ticket is dropped.
+struct QueueTicket<'a> {
+    call: &'a call::Call,
+    position: engines::Position,
+}
+
+impl Drop for QueueTicket<'_> {
+    fn drop(&mut self) {
+        let mut directory = self.call.edge.directory();
+        directory.service(&self.call.service).engines.dequeue(self.position);
+    }
+}
+
+// Reserves a slot, or queues the request if it is not its turn or no engine has a free slot.
+fn try_reserve(
+    call: &call::Call,
+    position: engines::Position,
+    need: engine::Need,
+    tried: &[ids::ServerName],
+) -> Option<Reservation> {
+    let now = clock::now();
+    let mut directory = call.edge.directory();
+    let service = directory.service(&call.service);
+    let engines = &mut service.engines;
+    let is_decode = |id: &str| engines.stage(id) == Some(fleet::Stage::Decode);
+    let candidates: Vec<_> = service.pool.candidates(tried, is_decode, now);
+    let allowed = |id: &str| candidates.iter().any(|other| *other == id);
+    let Some(id) = engines.reserve(position, need, allowed, rand::random(), now) else {
+        engines.enqueue(position);
+        return None;
+    };
+    let target = directory.target(&id)?;
+    call.edge.given.notify_one();
+    let (edge, service) = (call.edge.clone(), call.service.clone());
+    Some(Reservation { edge, service, target, run: position.run, hold: None })
+}
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -11,7 +11,7 @@
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
-use crate::{call, connections, directory, exchange, prefill, reader, refuse, room};
+use crate::{call, connections, directory, exchange, prefill, reader, refuse, reservation};
 
 /// One model request on its way.
 #[derive(Debug)]
@@ -20,9 +20,9 @@
     reply: responder::Responder,
     flow: flow::Flow,
     need: engine::Need,
-    room: Option<room::Room>,
+    room: Option<reservation::Reservation>,
     // Room elsewhere for a stream that is to be moved.
-    spare: Option<room::Room>,
+    spare: Option<reservation::Reservation>,
     cache: Option<prefill::Cache>,
     last_event: Option<u64>,
     events: u64,
@@ -105,10 +105,10 @@
 
     // Room is of use while the first event can still be in time, or, where it cannot any more,
     // while the caller waits for it.
-    fn wait(&self) -> room::Wait {
+    fn wait(&self) -> reservation::WaitLimit {
         let now = clock::now();
         if self.events > 0 {
-            return room::Wait::until(self.call.deadline.min(now + RESUME_WAIT));
+            return reservation::WaitLimit::until(self.call.deadline.min(now + RESUME_WAIT));
         }
         let late = self.call.returned;
         let mut directory = self.call.edge.directory();
@@ -120,7 +120,7 @@
         let patience = if late { target.max(LATE_WAIT) } else { target };
         let due = self.call.arrived + patience;
         let until = due.checked_sub(prefill + FIRST_EVENT).unwrap_or(now).min(self.call.deadline);
-        room::Wait { late, until }
+        reservation::WaitLimit { overdue: late, until }
     }
 
     // Whether the caller will have left long before its answer is whole.
@@ -144,14 +144,15 @@
         }
         let wait = self.wait();
         let tried = self.flow.tried().to_vec();
-        let asked = room::ask(&self.call, &mut self.reply, self.need, &tried, wait).await;
+        let asked =
+            reservation::reserve(&self.call, &mut self.reply, self.need, &tried, wait).await;
         match asked {
-            room::Asked::Granted(room) => {
+            reservation::ReserveResult::Granted(room) => {
                 self.room = Some(room);
                 flow::Event::Reserved
             }
-            room::Asked::Refused(refusal) => self.failed(None, refusal),
-            room::Asked::Gone => flow::Event::CallerGone,
+            reservation::ReserveResult::Refused(refusal) => self.failed(None, refusal),
+            reservation::ReserveResult::Disconnected => flow::Event::CallerGone,
         }
     }
 
@@ -197,7 +198,7 @@
         let mut tried = self.flow.tried().to_vec();
         loop {
             let Some(target) = self.room.as_ref().map(|room| room.target.clone()) else {
-                return self.failed(None, room::no_room());
+                return self.failed(None, reservation::no_slot());
             };
             let is_leaving = self.call.edge.directory().is_leaving(&target.id);
             let sent =
@@ -213,18 +214,20 @@
             tried.push(target.id.clone());
             self.room = None;
             let use_by = self.cache.as_ref().map_or(clock::now(), |cache| cache.use_by(&self.call));
-            let asked = room::ask(
+            let asked = reservation::reserve(
                 &self.call,
                 &mut self.reply,
                 self.need,
                 &tried,
-                room::Wait::until(use_by),
+                reservation::WaitLimit::until(use_by),
             )
             .await;
             match asked {
-                room::Asked::Granted(room) => self.room = Some(room),
-                room::Asked::Refused(refusal) => return self.failed(Some(target.id), refusal),
-                room::Asked::Gone => return flow::Event::CallerGone,
+                reservation::ReserveResult::Granted(room) => self.room = Some(room),
+                reservation::ReserveResult::Refused(refusal) => {
+                    return self.failed(Some(target.id), refusal);
+                }
+                reservation::ReserveResult::Disconnected => return flow::Event::CallerGone,
             }
         }
     }
@@ -235,7 +238,7 @@
             server: &target.id,
             time_left: self.call.time_left(),
             kv_source: source.as_deref(),
-            hold: self.room.as_ref().and_then(room::Room::hold),
+            hold: self.room.as_ref().and_then(reservation::Reservation::hold),
             last_event: self.last_event,
             ..request::ServerHeaders::default()
         };
@@ -372,21 +375,27 @@
     }
 
     // Room at another server for a stream that stands still, and the budget to go on there.
-    async fn find_spare(&mut self, server: &ids::ServerName) -> Option<room::Room> {
+    async fn find_spare(&mut self, server: &ids::ServerName) -> Option<reservation::Reservation> {
         if self.flow.is_last_run() {
             return None;
         }
         let mut tried = self.flow.tried().to_vec();
         tried.push(server.clone());
         let (call, reply) = (&self.call, &mut self.reply);
-        let asked =
-            room::ask(call, reply, self.need, &tried, room::Wait::until(clock::now())).await;
-        let room::Asked::Granted(room) = asked else { return None };
+        let asked = reservation::reserve(
+            call,
+            reply,
+            self.need,
+            &tried,
+            reservation::WaitLimit::until(clock::now()),
+        )
+        .await;
+        let reservation::ReserveResult::Granted(room) = asked else { return None };
         let is_other = room.target.id != *server;
         (is_other && self.call.take_repeats(Some(server), 2, Reason::EngineSilent)).then_some(room)
     }
 
-    fn move_to(&mut self, room: room::Room, server: &str) -> flow::Event {
+    fn move_to(&mut self, room: reservation::Reservation, server: &str) -> flow::Event {
         self.spare = Some(room);
         let refusal = Refusal::unknown(Reason::EngineSilent, RETRY_SOON);
         flow::Event::Failed { server: Some(server.to_string()), refusal, retry: true }
@@ -430,7 +439,7 @@
         if let Some(room) = &self.room
             && self.events % PROGRESS_EVENTS == 1
         {
-            room.progress(self.events);
+            room.record_progress(self.events);
         }
         None
     }
