--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Reads one prompt at a prefill engine.
+//! Runs the prefill of one prompt at a prefill engine.
 
 use std::{sync, time};
 
@@ -10,43 +10,43 @@
 
 use crate::{call, cleanup, connections, directory, edge, exchange, ledger};
 
-/// The KV cache of a prompt at the engine that read it; freed when dropped before it is taken.
+/// KV cache of a prompt at its prefill engine, freed when dropped before it was fetched.
 #[derive(Debug)]
-pub(crate) struct Cache {
+pub(crate) struct KvCache {
     edge: sync::Arc<edge::Edge>,
     pub(crate) server: ids::ServerName,
     target: directory::Target,
     handle: String,
     tokens: u32,
     account: ledger::Account,
-    read_at: time::Instant,
-    is_taken: bool,
+    completed_at: time::Instant,
+    is_fetched: bool,
 }
 
-impl Cache {
-    /// Where a decode engine fetches it.
+impl KvCache {
+    /// Location from which a decode engine fetches the cache.
     pub(crate) fn source(&self) -> String {
         engine::kv_source(self.target.address, &self.handle)
     }
 
-    /// Until when a decode engine can still be sought for it.
-    pub(crate) fn use_by(&self, call: &call::Call) -> time::Instant {
+    /// Time until which a decode engine may still be chosen for the cache.
+    pub(crate) fn usable_until(&self, call: &call::Call) -> time::Instant {
         let config = self.edge.directory().config();
         let service = config.as_ref().and_then(|config| config.services.get(&call.service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        let life = engine.map_or(time::Duration::ZERO, |engine| engine.handle_ttl);
-        self.read_at + life.mul_f64(USABLE_LIFE)
+        let ttl = engine.map_or(time::Duration::ZERO, |engine| engine.handle_ttl);
+        self.completed_at + ttl.mul_f64(USABLE_TTL_SHARE)
     }
 
-    /// Notes that a decode engine has it.
-    pub(crate) fn set_taken(&mut self) {
-        self.is_taken = true;
+    /// Records that a decode engine has fetched the cache.
+    pub(crate) fn set_fetched(&mut self) {
+        self.is_fetched = true;
     }
 }
 
-impl Drop for Cache {
+impl Drop for KvCache {
     fn drop(&mut self) {
-        if self.is_taken {
+        if self.is_fetched {
             return;
         }
         let reason = metrics::reason_labels(Reason::Withdrawn);
@@ -58,91 +58,95 @@
     }
 }
 
-/// What became of a prefill.
+/// Result of a prefill.
 #[derive(Debug)]
-pub(crate) enum Read {
-    /// The prompt has been read.
-    Done(Cache),
-    /// It has not; the server is not to be tried again.
+pub(crate) enum PrefillResult {
+    /// The prefill completed.
+    Completed(KvCache),
+    /// The prefill failed; the server, if any, is not tried again.
     Failed(Option<ids::ServerName>, Refusal),
-    /// It could not be sent to the server.
+    /// The request could not be sent to the server.
     Unsent(ids::ServerName),
     /// The caller closed its connection.
-    Gone,
+    Disconnected,
 }
 
-/// Part of a result's life in which it is offered: the rest is for the way to the engine.
-const USABLE_LIFE: f64 = 0.6;
-/// Time beyond the expected one before a prefill engine counts as silent: other entries' prompts
-/// may stand before ours.
-const SLACK: time::Duration = time::Duration::from_millis(700);
-/// Servers that may turn out to be out of reach before a prompt is given up.
+/// Share of a cache's TTL in which it may be assigned to a decode engine; the rest is for the
+/// transfer.
+const USABLE_TTL_SHARE: f64 = 0.6;
+/// Added to twice the expected time to get the timeout of a prefill: prompts of other entries may
+/// be queued before it.
+const TIMEOUT_MARGIN: time::Duration = time::Duration::from_millis(700);
+/// Number of unreachable servers after which the prefill fails.
 const MAX_UNSENT: usize = 4;
 
-/// A prompt that is to be read.
+/// Prompt to prefill.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Prompt<'a> {
     pub(crate) call: &'a call::Call,
-    /// Zone of the engine that decodes; one there is taken if that is as fast.
+    /// Availability zone of the decode engine; prefill engines in other zones get a penalty.
     pub(crate) zone: &'a str,
     pub(crate) tokens: u32,
 }
 
-/// Has the prompt read at a server that has not been `tried`.
-pub(crate) async fn read(
+/// Runs the prefill of `prompt`, preferably at a server that was not `tried`.
+pub(crate) async fn run(
     prompt: Prompt<'_>,
     reply: &mut responder::Responder,
     tried: &[ids::ServerName],
-) -> Read {
+) -> PrefillResult {
     let mut tried = tried.to_vec();
     for _ in 0..MAX_UNSENT {
-        match read_once(prompt, reply, &tried).await {
-            Read::Unsent(server) => tried.push(server),
-            read => return read,
+        match run_once(prompt, reply, &tried).await {
+            PrefillResult::Unsent(server) => tried.push(server),
+            result => return result,
         }
     }
-    Read::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON))
+    PrefillResult::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON))
 }
 
-async fn read_once(
+async fn run_once(
     prompt: Prompt<'_>,
     reply: &mut responder::Responder,
     tried: &[ids::ServerName],
-) -> Read {
+) -> PrefillResult {
     let call = prompt.call;
-    let chosen = choose(prompt, tried);
-    let Some((target, expected)) = chosen else {
-        return Read::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON));
+    let Some((target, expected)) = choose(prompt, tried) else {
+        return PrefillResult::Failed(None, Refusal::not_run(Reason::NoServer, RETRY_SOON));
     };
-    let deadline = call.deadline.min(clock::now() + expected * 2 + SLACK);
-    let send = request::ServerHeaders {
+    let deadline = call.deadline.min(clock::now() + expected * 2 + TIMEOUT_MARGIN);
+    let headers = request::ServerHeaders {
         server: &target.id,
         time_left: deadline.saturating_duration_since(clock::now()),
         ..request::ServerHeaders::default()
     };
-    let request = call.head.to_prefill(&send, call.body.clone());
+    let request = call.head.to_prefill(&headers, call.body.clone());
     let started = clock::now();
-    let reading = exchange::fetch(&call.edge.links, target.address, request);
-    let waited = reply.wait(reading, deadline).await;
-    let result = match waited {
-        responder::WaitOutcome::Disconnected => return Read::Gone,
+    let sending = exchange::fetch(&call.edge.links, target.address, request);
+    let result = match reply.wait(sending, deadline).await {
+        responder::WaitOutcome::Disconnected => return PrefillResult::Disconnected,
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
         responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
             tracing::info!(id = call.id(), server = target.id, err, "edge: prefill not sent");
-            note_end(call, &target.id, pool::ServerOutcome::Failure(Reason::NoServer));
-            return Read::Unsent(target.id);
+            record_outcome(call, &target.id, pool::ServerOutcome::Failure(Reason::NoServer));
+            return PrefillResult::Unsent(target.id);
         }
         responder::WaitOutcome::Event(Err(connections::SendError::ConnectionLost(err))) => {
-            tracing::info!(id = call.id(), server = target.id, err, "edge: prefill broke off");
+            tracing::info!(
+                id = call.id(),
+                server = target.id,
+                err,
+                "edge: connection lost during prefill"
+            );
             Err(Refusal::not_run(Reason::LostContact, RETRY_SOON))
         }
-        responder::WaitOutcome::Event(Ok(read)) => take(call, &target, &read),
+        responder::WaitOutcome::Event(Ok(response)) => read_response(call, &target, &response),
     };
-    let end = result.as_ref().map_or_else(
+    let outcome = result.as_ref().map_or_else(
         |refusal| directory::bad_end(refusal.reason),
         |_| pool::ServerOutcome::Unknown,
     );
-    note_end(call, &target.id, end);
+    record_outcome(call, &target.id, outcome);
     match result {
         Ok(prefilled) => {
             tracing::info!(
@@ -151,18 +155,18 @@
                 tokens = prefilled.tokens,
                 expected_ms = expected.as_millis() as u64,
                 took_ms = (clock::now() - started).as_millis() as u64,
-                "edge: prompt read"
+                "edge: prefill completed"
             );
             call.account().add(|totals| totals.prefill_tokens += u64::from(prefilled.tokens));
-            Read::Done(Cache {
+            PrefillResult::Completed(KvCache {
                 account: call.account(),
                 edge: call.edge.clone(),
                 server: target.id.clone(),
                 target,
                 handle: prefilled.handle,
                 tokens: prefilled.tokens,
-                read_at: clock::now(),
-                is_taken: false,
+                completed_at: clock::now(),
+                is_fetched: false,
             })
         }
         Err(refusal) => {
@@ -170,9 +174,9 @@
                 id = call.id(),
                 server = target.id,
                 reason = refusal.reason.name(),
-                "edge: prompt not read"
+                "edge: prefill failed"
             );
-            Read::Failed(Some(target.id), refusal)
+            PrefillResult::Failed(Some(target.id), refusal)
         }
     }
 }
@@ -187,30 +191,28 @@
     let service = directory.service(&call.service);
     let engines = &service.engines;
     let is_prefill = |id: &str| engines.stage(id) == Some(fleet::Stage::Prefill);
-    let sound = service.pool.candidates(tried, is_prefill, now);
-    let allowed = |id: &str| sound.iter().any(|other| *other == id);
+    let candidates = service.pool.candidates(tried, is_prefill, now);
+    let allowed = |id: &str| candidates.iter().any(|other| *other == id);
     let (id, expected) = engines.pick_prefill(tokens, zone, allowed, rand::random(), now)?;
     service.engines.record_prefill(&id, tokens, now);
     call.edge.given.notify_one();
     Some((directory.target(&id)?, expected))
 }
 
-fn take(
+fn read_response(
     call: &call::Call,
     target: &directory::Target,
-    read: &exchange::BufferedResponse,
+    response: &exchange::BufferedResponse,
 ) -> Result<engine::Prefilled, Refusal> {
-    let proof = forms::classify(&read.head, call.head.attempt.as_ref());
-    match proof {
+    match forms::classify(&response.head, call.head.attempt.as_ref()) {
         forms::HeadClass::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
         forms::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
         forms::HeadClass::Valid | forms::HeadClass::Invalid => {
-            let body = read.body.as_ref().filter(|_| read.is_success());
-            let parsed = body.map(|body| engine::read_prefilled(body));
-            match parsed {
+            let body = response.body.as_ref().filter(|_| response.is_success());
+            match body.map(|body| engine::read_prefilled(body)) {
                 Some(Ok(prefilled)) => Ok(prefilled),
                 Some(Err(err)) => {
-                    tracing::info!(server = target.id, %err, "edge: prefill answer unreadable");
+                    tracing::info!(server = target.id, %err, "edge: invalid prefill response");
                     Err(Refusal::not_run(Reason::EngineFailed, RETRY_SOON))
                 }
                 None => Err(Refusal::not_run(Reason::EngineFailed, RETRY_SOON)),
@@ -219,7 +221,7 @@
     }
 }
 
-/// Notes what is known of a server of the call's service.
-pub(crate) fn note_end(call: &call::Call, server: &str, end: pool::ServerOutcome) {
-    call.edge.directory().service(&call.service).pool.record_outcome(server, end, clock::now());
+/// Records the outcome of a request to a server of the call's service.
+pub(crate) fn record_outcome(call: &call::Call, server: &str, outcome: pool::ServerOutcome) {
+    call.edge.directory().service(&call.service).pool.record_outcome(server, outcome, clock::now());
 }
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -165,12 +165,12 @@
         Ok(Ok(response)) => response,
         Ok(Err(err)) => {
             tracing::info!(id = call.id(), server = id, %err, "edge: hold request failed");
-            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
+            prefill::record_outcome(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
             return HoldResult::Unavailable;
         }
         Err(_) => {
             tracing::info!(id = call.id(), server = id, "edge: hold request timed out");
-            prefill::note_end(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
+            prefill::record_outcome(call, &id, pool::ServerOutcome::Failure(Reason::NoServer));
             return HoldResult::Unavailable;
         }
     };
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -23,7 +23,7 @@
     room: Option<reservation::Reservation>,
     // Room elsewhere for a stream that is to be moved.
     spare: Option<reservation::Reservation>,
-    cache: Option<prefill::Cache>,
+    cache: Option<prefill::KvCache>,
     last_event: Option<u64>,
     events: u64,
     first_at: Option<time::Instant>,
@@ -166,16 +166,16 @@
         let zone = self.decode_zone();
         let tried = self.flow.tried().to_vec();
         let prompt = prefill::Prompt { call: &self.call, zone: &zone, tokens: self.need.prompt };
-        match prefill::read(prompt, &mut self.reply, &tried).await {
-            prefill::Read::Done(cache) => {
+        match prefill::run(prompt, &mut self.reply, &tried).await {
+            prefill::PrefillResult::Completed(cache) => {
                 self.cache = Some(cache);
                 flow::Event::Prefilled
             }
-            prefill::Read::Failed(server, refusal) => self.failed(server, refusal),
-            prefill::Read::Unsent(server) => {
+            prefill::PrefillResult::Failed(server, refusal) => self.failed(server, refusal),
+            prefill::PrefillResult::Unsent(server) => {
                 self.failed(Some(server), Refusal::not_run(Reason::NoServer, RETRY_SOON))
             }
-            prefill::Read::Gone => flow::Event::CallerGone,
+            prefill::PrefillResult::Disconnected => flow::Event::CallerGone,
         }
     }
 
@@ -210,10 +210,11 @@
                 }
                 Sent::No(reason) => reason,
             };
-            prefill::note_end(&self.call, &target.id, directory::bad_end(reason));
+            prefill::record_outcome(&self.call, &target.id, directory::bad_end(reason));
             tried.push(target.id.clone());
             self.room = None;
-            let use_by = self.cache.as_ref().map_or(clock::now(), |cache| cache.use_by(&self.call));
+            let use_by =
+                self.cache.as_ref().map_or(clock::now(), |cache| cache.usable_until(&self.call));
             let asked = reservation::reserve(
                 &self.call,
                 &mut self.reply,
@@ -233,7 +234,7 @@
     }
 
     async fn send(&mut self, target: &directory::Target) -> Sent {
-        let source = self.cache.as_ref().map(prefill::Cache::source);
+        let source = self.cache.as_ref().map(prefill::KvCache::source);
         let send = request::ServerHeaders {
             server: &target.id,
             time_left: self.call.time_left(),
@@ -267,10 +268,10 @@
     fn judge(&mut self, server: &str, event: &flow::Event) {
         match event {
             flow::Event::Ended => {
-                prefill::note_end(&self.call, server, pool::ServerOutcome::Success)
+                prefill::record_outcome(&self.call, server, pool::ServerOutcome::Success)
             }
             flow::Event::Failed { refusal, .. } => {
-                prefill::note_end(&self.call, server, directory::bad_end(refusal.reason));
+                prefill::record_outcome(&self.call, server, directory::bad_end(refusal.reason));
             }
             _ => {}
         }
@@ -294,8 +295,8 @@
             room.set_hold_used();
         }
         if let Some(cache) = &mut self.cache {
-            cache.set_taken();
-            prefill::note_end(&self.call, &cache.server, pool::ServerOutcome::Success);
+            cache.set_fetched();
+            prefill::record_outcome(&self.call, &cache.server, pool::ServerOutcome::Success);
         }
         if !answered.response.status().is_success() {
             return self.pass_failure(server, answered).await;
@@ -312,7 +313,7 @@
         exchange::read_all(&self.call.edge.links, answered).await;
         if let Some(cache) = &self.cache {
             let lapsed = pool::ServerOutcome::Failure(Reason::LostContact);
-            prefill::note_end(&self.call, &cache.server, lapsed);
+            prefill::record_outcome(&self.call, &cache.server, lapsed);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
     }
