--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -40,7 +40,7 @@
     let (parts, body) = request.into_parts();
     let head = request::Head::read(&parts);
     let attempt = head.attempt.clone();
-    let early = |refusal| refuse::early(edge, attempt.as_ref(), refusal);
+    let early = |refusal| refuse::ingress_response(edge, attempt.as_ref(), refusal);
     let Some(config) = edge.directory().config() else {
         return early(Refusal::not_run(Reason::NoList, CONFIG_RETRY));
     };
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -226,12 +226,12 @@
 
     fn refuse(&mut self, refusal: Refusal) {
         if refusal.outcome == Outcome::Cancelled {
-            return refuse::note(&self.call, refusal);
+            return refuse::record(&self.call, refusal);
         }
         if let Some(failure) = self.failure.take() {
             return self.finish(failure);
         }
-        self.reply.respond(refuse::late(&self.call, refusal));
+        self.reply.respond(refuse::call_response(&self.call, refusal));
     }
 }
 
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Final answers that are not a server's.
+//! Refusals: responses that the entry generates itself.
 
 use hyper::{Response, StatusCode, header};
 
@@ -10,8 +10,8 @@
 
 use crate::{call, edge};
 
-/// Answer to a request that is refused before it has a route.
-pub(crate) fn early(
+/// Records the refusal of a request that is not a call yet, and returns the response.
+pub(crate) fn ingress_response(
     edge: &edge::Edge,
     attempt: Option<&header::HeaderValue>,
     refusal: Refusal,
@@ -20,17 +20,17 @@
     let id = attempt.and_then(|id| id.to_str().ok()).unwrap_or("-");
     let reason = refusal.reason.name();
     tracing::info!(id, reason, outcome = refusal.outcome.name(), "edge: refused");
-    answer(attempt, refusal)
+    build_response(attempt, refusal)
 }
 
-/// Answer to a request that is given up.
-pub(crate) fn late(call: &call::Call, refusal: Refusal) -> Response<response::Body> {
-    note(call, refusal);
-    answer(call.head.attempt.as_ref(), refusal)
+/// Records the refusal of a call, and returns the response.
+pub(crate) fn call_response(call: &call::Call, refusal: Refusal) -> Response<response::Body> {
+    record(call, refusal);
+    build_response(call.head.attempt.as_ref(), refusal)
 }
 
-/// Counts and logs that a request is given up.
-pub(crate) fn note(call: &call::Call, refusal: Refusal) {
+/// Counts and logs the refusal of a call.
+pub(crate) fn record(call: &call::Call, refusal: Refusal) {
     call.account().add(|totals| totals.count_outcome(refusal.outcome, Some(refusal.reason)));
     call.edge
         .counters
@@ -52,8 +52,11 @@
     );
 }
 
-fn answer(attempt: Option<&header::HeaderValue>, refusal: Refusal) -> Response<response::Body> {
-    // A time to come back is a promise that nothing ran.
+fn build_response(
+    attempt: Option<&header::HeaderValue>,
+    refusal: Refusal,
+) -> Response<response::Body> {
+    // A retry delay tells the caller that the request did not run.
     let retry = refusal.retry.filter(|_| refusal.outcome == Outcome::NotRun);
     let text = format!("{refusal}\n");
     forms::local_head(status(&refusal), attempt, retry).map(|()| response::full(text))
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -489,13 +489,13 @@
 
     async fn refuse(&mut self, refusal: Refusal) {
         if self.reply.has_started() {
-            refuse::note(&self.call, refusal);
+            refuse::record(&self.call, refusal);
             return self.reply.abort(refusal.reason.name()).await;
         }
         if refusal.outcome == Outcome::Cancelled {
-            return refuse::note(&self.call, refusal);
+            return refuse::record(&self.call, refusal);
         }
-        let response = refuse::late(&self.call, refusal);
+        let response = refuse::call_response(&self.call, refusal);
         self.reply.respond(response);
     }
 }
