--- a/crates/edge/src/reader.rs
+++ b/crates/edge/src/reader.rs
@@ -1,4 +1,4 @@
-//! Whole events of one server's stream.
+//! Reads events from the stream of one server.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -6,42 +6,42 @@
 
 use rhubarb_core::sse;
 
-/// A stream being read.
+/// Reader of a server's event stream.
 #[derive(Debug)]
 pub(crate) struct Reader {
     body: body::Incoming,
-    scanner: sse::Decoder,
+    decoder: sse::Decoder,
 }
 
-/// What comes next on a stream.
+/// Next item of a stream.
 #[derive(Debug)]
-pub(crate) enum Piece {
-    /// A whole event.
+pub(crate) enum Item {
+    /// A complete event.
     Event(sse::Event),
-    /// The stream ended behind a whole event.
+    /// The stream ended after a complete event.
     End,
-    /// The stream broke off, or ended within an event.
-    Broken(String),
+    /// The connection was lost, or the stream ended within an event.
+    Interrupted(String),
 }
 
 impl Reader {
     pub(crate) fn new(body: body::Incoming) -> Reader {
-        Reader { body, scanner: sse::Decoder::default() }
+        Reader { body, decoder: sse::Decoder::default() }
     }
 
-    /// Waits for the next piece; dropping the wait loses nothing.
-    pub(crate) async fn next(&mut self) -> Piece {
+    /// Waits for the next item. Cancel safe: dropping the future loses no data.
+    pub(crate) async fn next(&mut self) -> Item {
         loop {
-            if let Some(event) = self.scanner.next_event() {
-                return Piece::Event(event);
+            if let Some(event) = self.decoder.next_event() {
+                return Item::Event(event);
             }
             match self.next_bytes().await {
-                Some(Ok(bytes)) => self.scanner.push(&bytes),
-                Some(Err(err)) => return Piece::Broken(err.to_string()),
-                None if self.scanner.is_partial() => {
-                    return Piece::Broken("the stream ended within an event".to_string());
+                Some(Ok(bytes)) => self.decoder.push(&bytes),
+                Some(Err(err)) => return Item::Interrupted(err.to_string()),
+                None if self.decoder.is_partial() => {
+                    return Item::Interrupted("the stream ended within an event".to_string());
                 }
-                None => return Piece::End,
+                None => return Item::End,
             }
         }
     }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -359,15 +359,15 @@
                     // A preempted run goes on later; its silence alone does not end the answer.
                     None => continue,
                 },
-                responder::WaitOutcome::Event(reader::Piece::Broken(err)) => {
+                responder::WaitOutcome::Event(reader::Item::Interrupted(err)) => {
                     tracing::info!(id = self.call.id(), server, err, "edge: stream broke off");
                     return self.broken(server, Reason::LostContact);
                 }
-                responder::WaitOutcome::Event(reader::Piece::End) => {
+                responder::WaitOutcome::Event(reader::Item::End) => {
                     self.call.edge.links.put_back(answered.connection, told);
                     return flow::Event::Ended;
                 }
-                responder::WaitOutcome::Event(reader::Piece::Event(event)) => event,
+                responder::WaitOutcome::Event(reader::Item::Event(event)) => event,
             };
             if let Some(ended) = self.pass(server, &head, event).await {
                 return ended;
