--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the entry.
+//! State of a request during its processing.
 
 use std::{sync, sync::atomic, time};
 
@@ -11,7 +11,7 @@
 
 use crate::{edge, ledger};
 
-/// A request that has been read and has a route.
+/// Request that has been read and routed.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) edge: sync::Arc<edge::Edge>,
@@ -19,16 +19,18 @@
     pub(crate) body: Bytes,
     pub(crate) route: routing::Route,
     pub(crate) service: ids::ServiceName,
+    /// Version of the config that it was routed with.
     pub(crate) version: ids::ListVersion,
     pub(crate) arrived: time::Instant,
-    /// Whether its caller was refused before, so that it can no longer be in time.
-    pub(crate) returned: bool,
-    /// When the final answer is due.
+    /// Whether its timeout indicates the retry of a refused request, which can no longer meet its
+    /// latency target.
+    pub(crate) is_retry: bool,
+    /// Deadline of the final answer.
     pub(crate) deadline: time::Instant,
 }
 
 impl Call {
-    /// Id for logs.
+    /// Id of the attempt, for logs.
     pub(crate) fn id(&self) -> &str {
         let id = self.head.attempt.as_ref().map(header::HeaderValue::to_str);
         id.and_then(Result::ok).unwrap_or("-")
@@ -38,18 +40,13 @@
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// What the request may cost, with at most `retries` attempts after the first.
-    pub(crate) fn rules(&self, retries: u32) -> flow::RetryPolicy {
+    /// Limits on the attempts of the request, with at most `max_retries` after the first.
+    pub(crate) fn retry_policy(&self, max_retries: u32) -> flow::RetryPolicy {
         let routing::Route { kind, attempts, .. } = self.route;
-        flow::RetryPolicy {
-            kind,
-            max_runs: attempts,
-            max_retries: retries,
-            deadline: self.deadline,
-        }
+        flow::RetryPolicy { kind, max_runs: attempts, max_retries, deadline: self.deadline }
     }
 
-    /// Where the request is counted.
+    /// Usage account that counts the request.
     pub(crate) fn account(&self) -> ledger::Account {
         ledger::Account::new(&self.edge, &self.service, &self.route.name)
     }
@@ -59,15 +56,17 @@
         (clock::now() - self.arrived).as_millis() as u64
     }
 
-    /// Takes `sends` repeats from the shared budget after an attempt at `server`, and notes it.
-    pub(crate) fn take_repeats(
+    /// Withdraws `sends` requests from the shared retry budget after a failure at `server`.
+    ///
+    /// Counts the retry if the budget allows it.
+    pub(crate) fn withdraw_retry(
         &self,
         server: Option<&ids::ServerName>,
         sends: u32,
         reason: outcome::Reason,
     ) -> bool {
-        let taken = self.edge.directory().take_repeats(&self.service, sends, clock::now());
-        if taken {
+        let is_allowed = self.edge.directory().take_repeats(&self.service, sends, clock::now());
+        if is_allowed {
             self.edge
                 .counters
                 .requests
@@ -81,25 +80,25 @@
             server,
             reason = reason.name(),
             sends,
-            taken,
-            "edge: repeat asked for"
+            is_allowed,
+            "edge: retry requested"
         );
-        taken
+        is_allowed
     }
 }
 
-/// Counts a request as open until it is dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
-pub(crate) struct Open(sync::Arc<edge::Edge>);
+pub(crate) struct InFlight(sync::Arc<edge::Edge>);
 
-impl Open {
-    pub(crate) fn new(edge: &sync::Arc<edge::Edge>) -> Open {
+impl InFlight {
+    pub(crate) fn new(edge: &sync::Arc<edge::Edge>) -> InFlight {
         edge.open.fetch_add(1, atomic::Ordering::Relaxed);
-        Open(edge.clone())
+        InFlight(edge.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, atomic::Ordering::Relaxed);
     }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -61,9 +61,9 @@
         return early(Refusal::permanent(Reason::BadRequest));
     };
     let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let returned = edge.directory().note_asked(&service, &route.name, patience);
+    let is_retry = edge.directory().note_asked(&service, &route.name, patience);
     start(call::Call {
-        returned,
+        is_retry,
         edge: edge.clone(),
         deadline: arrived + patience,
         head,
@@ -77,7 +77,7 @@
 }
 
 async fn start(call: call::Call) -> Response<response::Body> {
-    let open = call::Open::new(&call.edge);
+    let open = call::InFlight::new(&call.edge);
     call.edge.directory().service(&call.service).repeats.record_request(clock::now());
     let (reply, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -46,7 +46,7 @@
 
 impl Plain {
     pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Plain {
-        let flow = flow::Flow::new(flow::Path::Direct, call.rules(MAX_RETRIES));
+        let flow = flow::Flow::new(flow::Path::Direct, call.retry_policy(MAX_RETRIES));
         Plain { call, reply, flow, failure: None, answer: None, belief: None }
     }
 
@@ -97,7 +97,7 @@
         let server = Some(target.id);
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
             // What was not written reached no server, so it costs no budget.
-            && (refusal.reason == Reason::NoServer || self.call.take_repeats(server.as_ref(), 1, refusal.reason));
+            && (refusal.reason == Reason::NoServer || self.call.withdraw_retry(server.as_ref(), 1, refusal.reason));
         flow::Event::Failed { server, refusal, retry }
     }
 
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -45,7 +45,7 @@
         config = call.version,
         reason = refusal.reason.name(),
         outcome = refusal.outcome.name(),
-        returned = call.returned,
+        is_retry = call.is_retry,
         age_ms = call.age_ms(),
         retry_ms,
         "edge: refused"
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -210,7 +210,7 @@
         need = need.charge(),
         fill = estimate.map(|estimate| estimate.fill),
         report_age_ms = estimate.map(|estimate| estimate.age.as_millis() as u64),
-        returned = call.returned,
+        is_retry = call.is_retry,
         age_ms = call.age_ms(),
         "{message}"
     );
@@ -229,8 +229,8 @@
     let is_too_long = now + wait > until + WAIT_MARGIN;
     if is_too_long {
         let wait_ms = wait.as_millis() as u64;
-        let returned = call.returned;
-        tracing::info!(id = call.id(), wait_ms, returned, "edge: slot queue too long");
+        let is_retry = call.is_retry;
+        tracing::info!(id = call.id(), wait_ms, is_retry, "edge: slot queue too long");
     }
     is_too_long
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -55,7 +55,7 @@
         let last_event = call.head.last_event;
         Streaming {
             need: call.head.need.unwrap_or(UNKNOWN_NEED),
-            flow: flow::Flow::new(flow::Path::Staged, call.rules(flow::MAX_RETRIES)),
+            flow: flow::Flow::new(flow::Path::Staged, call.retry_policy(flow::MAX_RETRIES)),
             call,
             reply,
             room: None,
@@ -94,7 +94,7 @@
 
     fn failed(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
-            && self.call.take_repeats(server.as_ref(), self.repeat_sends(), refusal.reason);
+            && self.call.withdraw_retry(server.as_ref(), self.repeat_sends(), refusal.reason);
         flow::Event::Failed { server, refusal, retry }
     }
 
@@ -110,7 +110,7 @@
         if self.events > 0 {
             return reservation::WaitLimit::until(self.call.deadline.min(now + RESUME_WAIT));
         }
-        let late = self.call.returned;
+        let late = self.call.is_retry;
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
         let own = engines::Engines::decode_prefill_time(self.need.prompt);
@@ -393,7 +393,8 @@
         .await;
         let reservation::ReserveResult::Granted(room) = asked else { return None };
         let is_other = room.target.id != *server;
-        (is_other && self.call.take_repeats(Some(server), 2, Reason::EngineSilent)).then_some(room)
+        (is_other && self.call.withdraw_retry(Some(server), 2, Reason::EngineSilent))
+            .then_some(room)
     }
 
     fn move_to(&mut self, room: reservation::Reservation, server: &str) -> flow::Event {
