--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -1,4 +1,5 @@
-//! Drives one model request: decode room, prefill, decode, and its events to the caller.
+//! Drives model requests: reserves a decode slot, runs prefill and decode, and forwards the events
+//! to the caller.
 
 use std::time;
 
@@ -13,80 +14,80 @@
 
 use crate::{call, connections, directory, exchange, prefill, reader, refuse, reservation};
 
-/// One model request on its way.
+/// Model request in progress.
 #[derive(Debug)]
 pub(crate) struct Streaming {
     call: call::Call,
     reply: responder::Responder,
     flow: flow::Flow,
     need: engine::Need,
-    room: Option<reservation::Reservation>,
-    // Room elsewhere for a stream that is to be moved.
-    spare: Option<reservation::Reservation>,
+    reservation: Option<reservation::Reservation>,
+    // Slot at another server, for a stalled stream that resumes there.
+    failover: Option<reservation::Reservation>,
     cache: Option<prefill::KvCache>,
     last_event: Option<u64>,
     events: u64,
     first_at: Option<time::Instant>,
     last_at: Option<time::Instant>,
-    longest_pause: time::Duration,
+    longest_gap: time::Duration,
 }
 
-/// Time from the end of a prefill to the first event: transfer, messages, one batch of steps.
-const FIRST_EVENT: time::Duration = time::Duration::from_millis(130);
-/// A request that can no longer be in time waits this long: any caller bears so long a silence
-/// before the first event, by the platform's pages.
-const LATE_WAIT: time::Duration = time::Duration::from_secs(2);
-/// Part of the expected time of an answer that must be left: what callers say of its length is
-/// often off.
-const LEAST_SHARE: f64 = 0.8;
-/// A stream that can go on elsewhere is offered to other servers after each silence of this
-/// length.
-const STALL: time::Duration = time::Duration::from_millis(1_500);
-/// A stream that broke off waits this long for room elsewhere.
+/// Time from the end of a prefill to the first event: KV cache transfer, messages, one batch of
+/// decode steps.
+const FIRST_EVENT_DELAY: time::Duration = time::Duration::from_millis(130);
+/// Minimum target of a request that can no longer meet the latency target of its route: according
+/// to the platform's documentation, all callers wait this long for the first event.
+const OVERDUE_TARGET: time::Duration = time::Duration::from_secs(2);
+/// Share of an answer's expected duration that must be left until the deadline. Less than 1, since
+/// length hints are often inaccurate.
+const MIN_TIME_SHARE: f64 = 0.8;
+/// Time without an event after which a resumable stream tries to fail over to another server.
+const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Time for which an interrupted stream waits for a slot at another server.
 const RESUME_WAIT: time::Duration = time::Duration::from_millis(1_000);
-/// Events after which the growth of a run is noted again, from the first one on: a few in a
-/// hundred of its memory.
-const PROGRESS_EVENTS: u64 = 8;
-/// Need of a request that does not tell its size.
-const UNKNOWN_NEED: engine::Need = engine::Need { prompt: 1_000, output: 500 };
+/// Number of events between updates of a run's memory use, from the first event on; meanwhile it
+/// grows by a few percent.
+const PROGRESS_INTERVAL: u64 = 8;
+/// Need of a request without a size hint.
+const DEFAULT_NEED: engine::Need = engine::Need { prompt: 1_000, output: 500 };
 
 impl Streaming {
     pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Streaming {
         let last_event = call.head.last_event;
         Streaming {
-            need: call.head.need.unwrap_or(UNKNOWN_NEED),
+            need: call.head.need.unwrap_or(DEFAULT_NEED),
             flow: flow::Flow::new(flow::Path::Staged, call.retry_policy(flow::MAX_RETRIES)),
             call,
             reply,
-            room: None,
-            spare: None,
+            reservation: None,
+            failover: None,
             cache: None,
             last_event,
             events: 0,
             first_at: None,
             last_at: None,
-            longest_pause: time::Duration::ZERO,
+            longest_gap: time::Duration::ZERO,
         }
     }
 
-    /// Runs the request to its one outcome.
+    /// Runs the request to its final outcome.
     pub(crate) async fn drive(mut self) {
-        let take = async |request: &mut Streaming, step| request.take_step(step).await;
-        flow::drive(&mut self, |request| &mut request.flow, take).await;
+        let execute = async |request: &mut Streaming, step| request.execute(step).await;
+        flow::drive(&mut self, |request| &mut request.flow, execute).await;
     }
 
-    async fn take_step(&mut self, step: flow::Step) -> Option<flow::Event> {
+    async fn execute(&mut self, step: flow::Step) -> Option<flow::Event> {
         match step {
             flow::Step::Reserve => return Some(self.reserve().await),
             flow::Step::Prefill => return Some(self.prefill().await),
             flow::Step::Send => return Some(self.decode().await),
             flow::Step::Release(_) => {
-                self.room = None;
+                self.reservation = None;
                 self.cache = None;
             }
             flow::Step::Finish => self.finish(),
             flow::Step::Refuse(refusal) => self.refuse(refusal).await,
-            // No server of the platform keeps answers.
+            // The platform's servers store no answers.
             flow::Step::Replay => {}
         }
         None
@@ -94,61 +95,63 @@
 
     fn failed(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
-            && self.call.withdraw_retry(server.as_ref(), self.repeat_sends(), refusal.reason);
+            && self.call.withdraw_retry(server.as_ref(), self.retry_sends(), refusal.reason);
         flow::Event::Failed { server, refusal, retry }
     }
 
-    // Sends that another attempt takes: with the prompt read in vain, that is done again too.
-    fn repeat_sends(&self) -> u32 {
+    // Number of requests that a retry sends: the prefill is repeated as well, if there was one.
+    fn retry_sends(&self) -> u32 {
         if self.cache.is_some() { 2 } else { 1 }
     }
 
-    // Room is of use while the first event can still be in time, or, where it cannot any more,
-    // while the caller waits for it.
-    fn wait(&self) -> reservation::WaitLimit {
+    // A slot is useful as long as the first event can meet the latency target, or, for an overdue
+    // request, while the caller still waits.
+    fn slot_wait(&self) -> reservation::WaitLimit {
         let now = clock::now();
         if self.events > 0 {
             return reservation::WaitLimit::until(self.call.deadline.min(now + RESUME_WAIT));
         }
-        let late = self.call.is_retry;
+        let overdue = self.call.is_retry;
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let own = engines::Engines::decode_prefill_time(self.need.prompt);
-        let prefill =
-            engines.shortest_prefill(self.need.prompt, now).map_or(own, |apart| apart.min(own));
+        let at_decode = engines::Engines::decode_prefill_time(self.need.prompt);
+        let prefill = engines
+            .shortest_prefill(self.need.prompt, now)
+            .map_or(at_decode, |at_prefill| at_prefill.min(at_decode));
         let target = self.call.route.target;
-        let patience = if late { target.max(LATE_WAIT) } else { target };
-        let due = self.call.arrived + patience;
-        let until = due.checked_sub(prefill + FIRST_EVENT).unwrap_or(now).min(self.call.deadline);
-        reservation::WaitLimit { overdue: late, until }
+        let target = if overdue { target.max(OVERDUE_TARGET) } else { target };
+        let due = self.call.arrived + target;
+        let until =
+            due.checked_sub(prefill + FIRST_EVENT_DELAY).unwrap_or(now).min(self.call.deadline);
+        reservation::WaitLimit { overdue, until }
     }
 
-    // Whether the caller will have left long before its answer is whole.
-    fn is_in_vain(&self) -> bool {
+    // Whether the deadline is expected to pass long before the answer is complete.
+    fn misses_deadline(&self) -> bool {
         if self.events > 0 {
             return false;
         }
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
         let expected = engines.answer_time(self.need.output);
-        self.call.time_left() < expected.mul_f64(LEAST_SHARE)
+        self.call.time_left() < expected.mul_f64(MIN_TIME_SHARE)
     }
 
     async fn reserve(&mut self) -> flow::Event {
-        if let Some(room) = self.spare.take() {
-            self.room = Some(room);
+        if let Some(reservation) = self.failover.take() {
+            self.reservation = Some(reservation);
             return flow::Event::Reserved;
         }
-        if self.is_in_vain() {
+        if self.misses_deadline() {
             return self.failed(None, Refusal::not_run(Reason::TooLate, RETRY_SOON));
         }
-        let wait = self.wait();
+        let limit = self.slot_wait();
         let tried = self.flow.tried().to_vec();
-        let asked =
-            reservation::reserve(&self.call, &mut self.reply, self.need, &tried, wait).await;
-        match asked {
-            reservation::ReserveResult::Granted(room) => {
-                self.room = Some(room);
+        let result =
+            reservation::reserve(&self.call, &mut self.reply, self.need, &tried, limit).await;
+        match result {
+            reservation::ReserveResult::Granted(reservation) => {
+                self.reservation = Some(reservation);
                 flow::Event::Reserved
             }
             reservation::ReserveResult::Refused(refusal) => self.failed(None, refusal),
@@ -157,8 +160,8 @@
     }
 
     async fn prefill(&mut self) -> flow::Event {
-        if self.is_own_faster() {
-            tracing::info!(id = self.call.id(), "edge: the decode engine reads the prompt itself");
+        if self.is_decode_prefill_faster() {
+            tracing::info!(id = self.call.id(), "edge: prefill at the decode engine");
             let tokens = u64::from(self.need.prompt);
             self.call.account().add(|totals| totals.prefill_tokens += tokens);
             return flow::Event::Prefilled;
@@ -179,52 +182,63 @@
         }
     }
 
-    fn is_own_faster(&self) -> bool {
+    // Whether the decode engine prefills the prompt sooner than any prefill engine.
+    fn is_decode_prefill_faster(&self) -> bool {
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        let apart = engines.shortest_prefill(self.need.prompt, clock::now());
-        apart.is_none_or(|apart| apart > engines::Engines::decode_prefill_time(self.need.prompt))
+        let at_prefill = engines.shortest_prefill(self.need.prompt, clock::now());
+        at_prefill.is_none_or(|time| time > engines::Engines::decode_prefill_time(self.need.prompt))
     }
 
     fn decode_zone(&self) -> ids::ZoneName {
-        let Some(room) = &self.room else { return self.call.edge.settings().zone.clone() };
+        let Some(reservation) = &self.reservation else {
+            return self.call.edge.settings().zone.clone();
+        };
         let mut directory = self.call.edge.directory();
         let engines = &directory.service(&self.call.service).engines;
-        engines.zone(&room.target.id).cloned().unwrap_or_default()
+        engines.zone(&reservation.target.id).cloned().unwrap_or_default()
     }
 
-    // An engine that cannot be reached or leaves is replaced while the prompt's cache lasts.
+    // Sends the request to the decode engine. One that is unreachable or leaving is replaced by
+    // another as long as the KV cache is usable.
     async fn decode(&mut self) -> flow::Event {
         let mut tried = self.flow.tried().to_vec();
         loop {
-            let Some(target) = self.room.as_ref().map(|room| room.target.clone()) else {
+            let Some(target) =
+                self.reservation.as_ref().map(|reservation| reservation.target.clone())
+            else {
                 return self.failed(None, reservation::no_slot());
             };
             let is_leaving = self.call.edge.directory().is_leaving(&target.id);
-            let sent =
-                if is_leaving { Sent::No(Reason::Leaving) } else { self.send(&target).await };
-            let reason = match sent {
-                Sent::Yes(event) => {
-                    self.judge(&target.id, &event);
+            let result = if is_leaving {
+                SendResult::NotSent(Reason::Leaving)
+            } else {
+                self.send(&target).await
+            };
+            let reason = match result {
+                SendResult::Sent(event) => {
+                    self.record_outcome(&target.id, &event);
                     return event;
                 }
-                Sent::No(reason) => reason,
+                SendResult::NotSent(reason) => reason,
             };
             prefill::record_outcome(&self.call, &target.id, directory::bad_end(reason));
             tried.push(target.id.clone());
-            self.room = None;
-            let use_by =
+            self.reservation = None;
+            let usable_until =
                 self.cache.as_ref().map_or(clock::now(), |cache| cache.usable_until(&self.call));
-            let asked = reservation::reserve(
+            let result = reservation::reserve(
                 &self.call,
                 &mut self.reply,
                 self.need,
                 &tried,
-                reservation::WaitLimit::until(use_by),
+                reservation::WaitLimit::until(usable_until),
             )
             .await;
-            match asked {
-                reservation::ReserveResult::Granted(room) => self.room = Some(room),
+            match result {
+                reservation::ReserveResult::Granted(reservation) => {
+                    self.reservation = Some(reservation)
+                }
                 reservation::ReserveResult::Refused(refusal) => {
                     return self.failed(Some(target.id), refusal);
                 }
@@ -233,39 +247,51 @@
         }
     }
 
-    async fn send(&mut self, target: &directory::Target) -> Sent {
+    async fn send(&mut self, target: &directory::Target) -> SendResult {
         let source = self.cache.as_ref().map(prefill::KvCache::source);
-        let send = request::ServerHeaders {
+        let headers = request::ServerHeaders {
             server: &target.id,
             time_left: self.call.time_left(),
             kv_source: source.as_deref(),
-            hold: self.room.as_ref().and_then(reservation::Reservation::hold),
+            hold: self.reservation.as_ref().and_then(reservation::Reservation::hold),
             last_event: self.last_event,
             ..request::ServerHeaders::default()
         };
-        let request = self.call.head.to_server(&send, self.call.body.clone());
+        let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
         let sending = edge.links.send(target.address, request);
-        Sent::Yes(match self.reply.wait(sending, self.call.deadline).await {
+        SendResult::Sent(match self.reply.wait(sending, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
-                tracing::info!(id = self.call.id(), server = target.id, err, "edge: not sent");
-                return Sent::No(Reason::NoServer);
+                tracing::info!(
+                    id = self.call.id(),
+                    server = target.id,
+                    err,
+                    "edge: request not sent"
+                );
+                return SendResult::NotSent(Reason::NoServer);
             }
             responder::WaitOutcome::Event(Err(connections::SendError::ConnectionLost(err))) => {
-                tracing::info!(id = self.call.id(), server = target.id, err, "edge: broke off");
-                self.broken(&target.id, Reason::LostContact)
+                tracing::info!(
+                    id = self.call.id(),
+                    server = target.id,
+                    err,
+                    "edge: connection lost"
+                );
+                self.interrupted(&target.id, Reason::LostContact)
+            }
+            responder::WaitOutcome::Event(Ok(pending)) => {
+                self.handle_response(&target.id, pending).await
             }
-            responder::WaitOutcome::Event(Ok(answered)) => self.take(&target.id, answered).await,
         })
     }
 
-    fn broken(&self, server: &str, reason: Reason) -> flow::Event {
+    fn interrupted(&self, server: &str, reason: Reason) -> flow::Event {
         self.failed(Some(server.to_string()), Refusal::unknown(reason, RETRY_SOON))
     }
 
-    fn judge(&mut self, server: &str, event: &flow::Event) {
+    fn record_outcome(&mut self, server: &str, event: &flow::Event) {
         match event {
             flow::Event::Ended => {
                 prefill::record_outcome(&self.call, server, pool::ServerOutcome::Success)
@@ -277,55 +303,55 @@
         }
     }
 
-    async fn take(
+    async fn handle_response(
         &mut self,
         server: &ids::ServerName,
-        answered: connections::PendingResponse,
+        pending: connections::PendingResponse,
     ) -> flow::Event {
-        match forms::classify(&answered.response, self.call.head.attempt.as_ref()) {
+        match forms::classify(&pending.response, self.call.head.attempt.as_ref()) {
             forms::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
                 return self.failed(Some(server.clone()), refusal);
             }
-            forms::HeadClass::NotRun => return self.not_admitted(server, answered).await,
-            forms::HeadClass::Invalid => return self.broken(server, Reason::LostContact),
+            forms::HeadClass::NotRun => return self.handle_not_run(server, pending).await,
+            forms::HeadClass::Invalid => return self.interrupted(server, Reason::LostContact),
             forms::HeadClass::Valid => {}
         }
-        if let Some(room) = &mut self.room {
-            room.set_hold_used();
+        if let Some(reservation) = &mut self.reservation {
+            reservation.set_hold_used();
         }
         if let Some(cache) = &mut self.cache {
             cache.set_fetched();
             prefill::record_outcome(&self.call, &cache.server, pool::ServerOutcome::Success);
         }
-        if !answered.response.status().is_success() {
-            return self.pass_failure(server, answered).await;
+        if !pending.response.status().is_success() {
+            return self.forward_failure(server, pending).await;
         }
-        self.pass_events(server, answered).await
+        self.forward_events(server, pending).await
     }
 
-    // The engine is full, or it could not fetch the KV cache.
-    async fn not_admitted(
+    // The engine did not run the request: it is full, or could not fetch the KV cache.
+    async fn handle_not_run(
         &mut self,
         server: &ids::ServerName,
-        answered: connections::PendingResponse,
+        pending: connections::PendingResponse,
     ) -> flow::Event {
-        exchange::read_all(&self.call.edge.links, answered).await;
+        exchange::read_all(&self.call.edge.links, pending).await;
         if let Some(cache) = &self.cache {
-            let lapsed = pool::ServerOutcome::Failure(Reason::LostContact);
-            prefill::record_outcome(&self.call, &cache.server, lapsed);
+            let expired = pool::ServerOutcome::Failure(Reason::LostContact);
+            prefill::record_outcome(&self.call, &cache.server, expired);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
     }
 
-    // The server ran the request and failed; its answer is the caller's.
-    async fn pass_failure(
+    // The server ran the request and failed; its response is forwarded to the caller.
+    async fn forward_failure(
         &mut self,
         server: &ids::ServerName,
-        answered: connections::PendingResponse,
+        pending: connections::PendingResponse,
     ) -> flow::Event {
         let edge = self.call.edge.clone();
-        let reading = exchange::read_all(&edge.links, answered);
+        let reading = exchange::read_all(&edge.links, pending);
         match self.reply.wait(reading, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
@@ -336,54 +362,59 @@
                 self.reply.respond(forms::forwarded_head(&head).map(|()| response::full(body)));
                 flow::Event::Ended
             }
-            responder::WaitOutcome::Event(_) => self.broken(server, Reason::EngineFailed),
+            responder::WaitOutcome::Event(_) => self.interrupted(server, Reason::EngineFailed),
         }
     }
 
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
         server: &ids::ServerName,
-        answered: connections::PendingResponse,
+        pending: connections::PendingResponse,
     ) -> flow::Event {
-        let head = forms::forwarded_head(&answered.response);
-        let told = connections::idle_timeout(&answered.response);
-        let mut reader = reader::Reader::new(answered.response.into_body());
+        let head = forms::forwarded_head(&pending.response);
+        let idle_timeout = connections::idle_timeout(&pending.response);
+        let mut reader = reader::Reader::new(pending.response.into_body());
         loop {
-            let event = match self.reply.wait(reader.next(), self.silence_ends()).await {
+            let event = match self.reply.wait(reader.next(), self.stall_deadline()).await {
                 responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
                 responder::WaitOutcome::Expired if clock::now() >= self.call.deadline => {
                     return flow::Event::Expired;
                 }
-                responder::WaitOutcome::Expired => match self.find_spare(server).await {
-                    Some(room) => return self.move_to(room, server),
-                    // A preempted run goes on later; its silence alone does not end the answer.
+                responder::WaitOutcome::Expired => match self.reserve_failover(server).await {
+                    Some(reservation) => return self.fail_over(reservation, server),
+                    // The engine may have preempted the run and continue it later, so a stall alone
+                    // does not end the answer.
                     None => continue,
                 },
                 responder::WaitOutcome::Event(reader::Item::Interrupted(err)) => {
-                    tracing::info!(id = self.call.id(), server, err, "edge: stream broke off");
-                    return self.broken(server, Reason::LostContact);
+                    tracing::info!(id = self.call.id(), server, err, "edge: stream interrupted");
+                    return self.interrupted(server, Reason::LostContact);
                 }
                 responder::WaitOutcome::Event(reader::Item::End) => {
-                    self.call.edge.links.put_back(answered.connection, told);
+                    self.call.edge.links.put_back(pending.connection, idle_timeout);
                     return flow::Event::Ended;
                 }
                 responder::WaitOutcome::Event(reader::Item::Event(event)) => event,
             };
-            if let Some(ended) = self.pass(server, &head, event).await {
+            if let Some(ended) = self.forward_event(server, &head, event).await {
                 return ended;
             }
         }
     }
 
-    // Room at another server for a stream that stands still, and the budget to go on there.
-    async fn find_spare(&mut self, server: &ids::ServerName) -> Option<reservation::Reservation> {
+    // Reserves a slot at another server for a stalled stream, and withdraws the retry from the
+    // budget.
+    async fn reserve_failover(
+        &mut self,
+        server: &ids::ServerName,
+    ) -> Option<reservation::Reservation> {
         if self.flow.is_last_run() {
             return None;
         }
         let mut tried = self.flow.tried().to_vec();
         tried.push(server.clone());
         let (call, reply) = (&self.call, &mut self.reply);
-        let asked = reservation::reserve(
+        let result = reservation::reserve(
             call,
             reply,
             self.need,
@@ -391,25 +422,25 @@
             reservation::WaitLimit::until(clock::now()),
         )
         .await;
-        let reservation::ReserveResult::Granted(room) = asked else { return None };
-        let is_other = room.target.id != *server;
+        let reservation::ReserveResult::Granted(reservation) = result else { return None };
+        let is_other = reservation.target.id != *server;
         (is_other && self.call.withdraw_retry(Some(server), 2, Reason::EngineSilent))
-            .then_some(room)
+            .then_some(reservation)
     }
 
-    fn move_to(&mut self, room: reservation::Reservation, server: &str) -> flow::Event {
-        self.spare = Some(room);
+    fn fail_over(&mut self, reservation: reservation::Reservation, server: &str) -> flow::Event {
+        self.failover = Some(reservation);
         let refusal = Refusal::unknown(Reason::EngineSilent, RETRY_SOON);
         flow::Event::Failed { server: Some(server.to_string()), refusal, retry: true }
     }
 
-    fn silence_ends(&self) -> time::Instant {
+    fn stall_deadline(&self) -> time::Instant {
         let is_resumable = self.call.route.kind == routing::Kind::Stream { resumable: true };
-        let stall = clock::now() + STALL;
+        let stall = clock::now() + STALL_TIMEOUT;
         if is_resumable { stall.min(self.call.deadline) } else { self.call.deadline }
     }
 
-    async fn pass(
+    async fn forward_event(
         &mut self,
         server: &ids::ServerName,
         head: &Response<()>,
@@ -421,7 +452,7 @@
             }
             if id != last + 1 {
                 tracing::warn!(id = self.call.id(), server, last, next = id, "edge: event missing");
-                return Some(self.broken(server, Reason::EngineFailed));
+                return Some(self.interrupted(server, Reason::EngineFailed));
             }
         }
         if !self.reply.has_started() {
@@ -435,13 +466,13 @@
         self.last_event = event.id.or(self.last_event);
         self.events += 1;
         let now = clock::now();
-        let pause = self.last_at.map_or(time::Duration::ZERO, |last| now - last);
-        self.longest_pause = self.longest_pause.max(pause);
+        let gap = self.last_at.map_or(time::Duration::ZERO, |last| now - last);
+        self.longest_gap = self.longest_gap.max(gap);
         self.last_at = Some(now);
-        if let Some(room) = &self.room
-            && self.events % PROGRESS_EVENTS == 1
+        if let Some(reservation) = &self.reservation
+            && self.events % PROGRESS_INTERVAL == 1
         {
-            room.record_progress(self.events);
+            reservation.record_progress(self.events);
         }
         None
     }
@@ -458,7 +489,7 @@
             id = call.id(),
             route = call.route.name,
             config = call.version,
-            server = self.room.as_ref().map(|room| room.target.id.as_str()),
+            server = self.reservation.as_ref().map(|reservation| reservation.target.id.as_str()),
             retries = self.flow.retries(),
             events = self.events,
             first_ms = first.map(|first| first.as_millis() as u64),
@@ -472,10 +503,10 @@
         let tokens = self.events * u64::from(call.edge.directory().event_tokens(&call.service));
         let times = self.first_at.zip(self.last_at);
         if let Some((first, last)) = times {
-            // A pause says more of a fault than of the engines' pace.
-            let took = (last - first).saturating_sub(self.longest_pause);
+            // The longest gap is more likely due to a fault than to the engines' speed.
+            let duration = (last - first).saturating_sub(self.longest_gap);
             let mut directory = call.edge.directory();
-            directory.service(&call.service).engines.record_answer(tokens, took);
+            directory.service(&call.service).engines.record_answer(tokens, duration);
         }
         call.account().add(|totals| {
             totals.count_outcome(Outcome::Answered, None);
@@ -483,7 +514,7 @@
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
             let between = (last - first).div_f64(gaps);
             let first = first - call.arrived;
-            let is_smooth = call.route.max_gap.is_none_or(|most| self.longest_pause <= most);
+            let is_smooth = call.route.max_gap.is_none_or(|max| self.longest_gap <= max);
             totals.count_answer(first, between, tokens, is_smooth && first <= call.route.target);
         });
     }
@@ -501,8 +532,8 @@
     }
 }
 
-// Whether a request went out, and what came of it.
-enum Sent {
-    Yes(flow::Event),
-    No(Reason),
+// Whether a request was sent, and the resulting event.
+enum SendResult {
+    Sent(flow::Event),
+    NotSent(Reason),
 }
