--- a/crates/edge/src/cleanup.rs
+++ b/crates/edge/src/cleanup.rs
@@ -1,4 +1,4 @@
-//! Frees what engines keep for a request that does not need it any more.
+//! Releases resources at engines that a request no longer needs.
 
 use std::{net, time};
 
@@ -8,20 +8,22 @@
 
 use crate::{edge, exchange};
 
-/// What is not freed in time lapses by itself soon after.
-const LIMIT: time::Duration = time::Duration::from_secs(1);
+/// Timeout of a release; a resource that is not released expires soon after.
+const TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Sends a call that frees something; a failure is only logged.
+/// Sends a request that releases a resource; a failure is only logged.
 pub(crate) async fn send(
     edge: &edge::Edge,
     address: net::SocketAddr,
     request: Request<Full<Bytes>>,
 ) {
-    let call = request.uri().path().to_string();
+    let path = request.uri().path().to_string();
     let sending = exchange::fetch(&edge.links, address, request);
-    match tokio::time::timeout(LIMIT, sending).await {
+    match tokio::time::timeout(TIMEOUT, sending).await {
         Ok(Ok(_)) => {}
-        Ok(Err(err)) => tracing::info!(%address, call, %err, "edge: not freed, it will lapse"),
-        Err(_) => tracing::info!(%address, call, "edge: not freed in time, it will lapse"),
+        Ok(Err(err)) => {
+            tracing::info!(%address, path, %err, "edge: release failed, resource will expire")
+        }
+        Err(_) => tracing::info!(%address, path, "edge: release timed out, resource will expire"),
     }
 }
