--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: routes, limits, and the start of their drivers.
+//! Receives requests of callers: routes them, enforces limits and starts their processing.
 
 use std::{sync, time};
 
@@ -12,13 +12,13 @@
 
 use crate::{call, edge, plain, refuse, stream};
 
-/// A config arrives within this time after the store is back.
+/// Retry delay without a usable config; one arrives within this time after the store recovers.
 const CONFIG_RETRY: time::Duration = time::Duration::from_secs(1);
 
-/// A retry reaches another instance, so it need not wait.
-const ELSEWHERE: time::Duration = time::Duration::from_millis(50);
+/// Retry delay while this instance stops: short, since a retry reaches another instance.
+const STOPPING_RETRY: time::Duration = time::Duration::from_millis(50);
 
-/// Answers one request.
+/// Handles one request of a caller and returns the response.
 pub(crate) async fn handle(
     edge: sync::Arc<edge::Edge>,
     request: Request<body::Incoming>,
@@ -40,32 +40,32 @@
     let (parts, body) = request.into_parts();
     let head = request::Head::read(&parts);
     let attempt = head.attempt.clone();
-    let early = |refusal| refuse::ingress_response(edge, attempt.as_ref(), refusal);
+    let refuse = |refusal| refuse::ingress_response(edge, attempt.as_ref(), refusal);
     let Some(config) = edge.directory().config() else {
-        return early(Refusal::not_run(Reason::NoList, CONFIG_RETRY));
+        return refuse(Refusal::not_run(Reason::NoList, CONFIG_RETRY));
     };
     let Some(route) = config.route(&head.host, &head.path).cloned() else {
-        return early(Refusal::permanent(Reason::NoService));
+        return refuse(Refusal::permanent(Reason::NoService));
     };
     let Some(service) = route.service(rand::random()).cloned() else {
-        return early(Refusal::not_run(Reason::NoServer, CONFIG_RETRY));
+        return refuse(Refusal::not_run(Reason::NoServer, CONFIG_RETRY));
     };
     if edge.is_ending() && matches!(route.kind, routing::Kind::Stream { .. }) {
-        return early(Refusal::not_run(Reason::Leaving, ELSEWHERE));
+        return refuse(Refusal::not_run(Reason::Leaving, STOPPING_RETRY));
     }
     let limit = config.limits.body_bytes;
     if body::Body::size_hint(&body).lower() > limit as u64 {
-        return early(Refusal::permanent(Reason::TooLarge));
+        return refuse(Refusal::permanent(Reason::TooLarge));
     }
     let Some(body) = response::read_body(body, limit).await else {
-        return early(Refusal::permanent(Reason::BadRequest));
+        return refuse(Refusal::permanent(Reason::BadRequest));
     };
-    let patience = head.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let is_retry = edge.directory().note_asked(&service, &route.name, patience);
+    let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let is_retry = edge.directory().note_asked(&service, &route.name, timeout);
     start(call::Call {
         is_retry,
         edge: edge.clone(),
-        deadline: arrived + patience,
+        deadline: arrived + timeout,
         head,
         body,
         route,
@@ -77,25 +77,25 @@
 }
 
 async fn start(call: call::Call) -> Response<response::Body> {
-    let open = call::InFlight::new(&call.edge);
+    let in_flight = call::InFlight::new(&call.edge);
     call.edge.directory().service(&call.service).repeats.record_request(clock::now());
     let (reply, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
-        let _open = open;
+        let _in_flight = in_flight;
         if is_model {
             stream::Streaming::new(call, reply).drive().await;
         } else {
             plain::Plain::new(call, reply).drive().await;
         }
     });
-    let failed = || {
+    let failure = || {
         let mut response = Response::new(response::full("the request failed inside the entry\n"));
         *response.status_mut() = StatusCode::BAD_GATEWAY;
         response
     };
     receiver.await.unwrap_or_else(|_| {
-        tracing::error!("edge: a request ended without an answer");
-        failed()
+        tracing::error!("edge: a request ended without a response");
+        failure()
     })
 }
