--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::{client, clock, locks};
 use rhubarb_platform::{settings, store};
 
-use crate::{dates, directory, lag, links, metrics, orders};
+use crate::{connections, dates, directory, lag, metrics, orders};
 
 /// State of one entry.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     settings: sync::Mutex<sync::Arc<settings::Settings>>,
     pub(crate) incarnation: ids::Incarnation,
     pub(crate) store: store::Store,
-    pub(crate) links: links::Links,
+    pub(crate) links: connections::ConnectionPool,
     pub(crate) counters: metrics::Counters,
     /// Notifies requests that wait for a decode slot that one may be free.
     pub(crate) slot_freed: lock::Notify,
@@ -55,7 +55,7 @@
             dates,
             ledger: sync::Mutex::new(ledger),
             store,
-            links: links::Links::default(),
+            links: connections::ConnectionPool::default(),
             counters: metrics::Counters::new(),
             slot_freed: lock::Notify::new(),
             commitments_changed: lock::Notify::new(),
