--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -7,7 +7,7 @@
 use rhubarb_core::{list, outcome};
 use rhubarb_node::{clock, responder, response, shared_settings};
 
-use crate::{admit, completion, entry, openai, plain, refuse, tag, teller};
+use crate::{admit, completion, entry, openai, plain, refuse, request_id, teller};
 
 use outcome::{Reason, Refusal};
 
@@ -29,7 +29,7 @@
         _ => {}
     }
     entry.metrics.requests.received.inc();
-    let id = request_id(&head);
+    let id = read_request_id(&head);
     let mut response = match serve(&entry, &head, content, &id).await {
         Ok(response) => response,
         Err((refusal, detail)) => {
@@ -37,7 +37,7 @@
             refuse::answer(refusal, detail.as_deref())
         }
     };
-    tag::insert(response.headers_mut(), &id);
+    request_id::insert(response.headers_mut(), &id);
     response
 }
 
@@ -152,11 +152,11 @@
     )
 }
 
-fn request_id(head: &http::request::Parts) -> String {
-    let given = head.headers.get(tag::REQUEST_ID).and_then(|id| id.to_str().ok());
-    let is_sound = |id: &&str| !id.is_empty() && id.len() <= 128;
+fn read_request_id(head: &http::request::Parts) -> String {
+    let given = head.headers.get(request_id::HEADER).and_then(|id| id.to_str().ok());
+    let is_valid = |id: &&str| !id.is_empty() && id.len() <= 128;
     given
-        .filter(is_sound)
+        .filter(is_valid)
         .map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_string)
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -28,8 +28,8 @@
 mod placing;
 mod plain;
 mod refuse;
+mod request_id;
 mod run;
-mod tag;
 mod teller;
 mod view;
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -9,7 +9,7 @@
 use rhubarb_node::{clock, hop, responder};
 use rhubarb_wire::{message, offer};
 
-use crate::{admit, channel, placing, refuse, tag};
+use crate::{admit, channel, placing, refuse, request_id};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -149,7 +149,7 @@
                 response.headers_mut().append(name, value);
             }
         }
-        tag::insert(response.headers_mut(), &self.call.id);
+        request_id::insert(response.headers_mut(), &self.call.id);
         self.reply.start_stream(response);
         self.flow.handle(&flow::Event::Streamed);
     }
@@ -170,7 +170,7 @@
             return self.reply.abort(refusal.reason.name()).await;
         }
         let mut response = refuse::answer(refusal, None);
-        tag::insert(response.headers_mut(), &self.call.id);
+        request_id::insert(response.headers_mut(), &self.call.id);
         self.reply.respond(response);
     }
 }
--- a/crates/entry/src/teller.rs
+++ b/crates/entry/src/teller.rs
@@ -8,7 +8,7 @@
 use rhubarb_core::outcome;
 use rhubarb_node::{clock, responder, response};
 
-use crate::{openai, refuse, tag};
+use crate::{openai, refuse, request_id};
 
 /// Longest time to tell a caller that its stream broke.
 const LAST_WORD: time::Duration = time::Duration::from_secs(1);
@@ -48,7 +48,7 @@
         headers.insert(header::CONTENT_TYPE, kind);
         let no_cache = header::HeaderValue::from_static("no-cache");
         headers.insert(header::CACHE_CONTROL, no_cache);
-        tag::insert(headers, &self.style.id);
+        request_id::insert(headers, &self.style.id);
         self.reply.start_stream(head);
     }
 
@@ -80,7 +80,7 @@
     }
 
     fn answer(&mut self, mut response: Response<response::Body>) {
-        tag::insert(response.headers_mut(), &self.style.id);
+        request_id::insert(response.headers_mut(), &self.style.id);
         self.reply.respond(response);
     }
 }
