--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::{clock, responder};
 use rhubarb_wire::message;
 
-use crate::{admit, channel, openai, peer, placing, refuse, teller};
+use crate::{admit, channel, openai, peer, refuse, selection, teller};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -125,7 +125,7 @@
     async fn reserve(&mut self) -> flow::Event {
         let keyed = self.ticket.key.is_some();
         let Some(server) =
-            placing::choose(&self.ticket, list::Role::Decode, self.flow.tried(), None)
+            selection::choose(&self.ticket, list::Role::Decode, self.flow.tried(), None)
         else {
             self.ticket.entry.directory.want();
             return self.unreachable(None, keyed);
@@ -134,7 +134,7 @@
             return self.unreachable(Some(server), keyed);
         };
         let Some(contact) = peer.contact().await else {
-            placing::note_end(
+            selection::record_end(
                 &self.ticket,
                 &server,
                 list::Role::Decode,
@@ -183,7 +183,7 @@
 
     // Nothing that a caller sees has run while the prompt is prefilled.
     async fn prefill(&mut self) -> flow::Event {
-        let Some(server) = placing::choose(
+        let Some(server) = selection::choose(
             &self.ticket,
             list::Role::Prefill,
             self.flow.tried(),
@@ -194,7 +194,7 @@
         let event = self.prefill_at(&server).await;
         let end =
             reason_of(&event).map_or(pool::ServerOutcome::Unknown, pool::ServerOutcome::Failure);
-        placing::note_end(&self.ticket, &server, list::Role::Prefill, end);
+        selection::record_end(&self.ticket, &server, list::Role::Prefill, end);
         event
     }
 
@@ -315,7 +315,7 @@
     // of which a token came speaks for it.
     fn judge_source(&mut self, end: pool::ServerOutcome) {
         let Some(server) = self.source.take() else { return };
-        placing::judge(&self.ticket, &server, list::Role::Prefill, end);
+        selection::record_outcome(&self.ticket, &server, list::Role::Prefill, end);
     }
 
     // Dropping the run cancels it at the agent.
@@ -329,7 +329,7 @@
                 None if self.first_at.is_some() => pool::ServerOutcome::Success,
                 None => pool::ServerOutcome::Unknown,
             };
-            placing::note_end(&self.ticket, &placed.server, list::Role::Decode, end);
+            selection::record_end(&self.ticket, &placed.server, list::Role::Decode, end);
         }
         if let Some(prefilled) = self.prefilled.take() {
             let ticket = &self.ticket;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -25,11 +25,11 @@
 mod lists;
 mod openai;
 mod peer;
-mod placing;
 mod plain;
 mod refuse;
 mod request_id;
 mod run;
+mod selection;
 mod teller;
 mod view;
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -9,7 +9,7 @@
 use rhubarb_node::{clock, hop, responder};
 use rhubarb_wire::{message, offer};
 
-use crate::{admit, channel, placing, refuse, request_id};
+use crate::{admit, channel, refuse, request_id, selection};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -83,7 +83,7 @@
         let keyed = self.ticket.key.is_some();
         let unreachable = refuse::own(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
         let Some(server) =
-            placing::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
+            selection::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
         else {
             self.ticket.entry.directory.want();
             return self.failed(None, unreachable);
@@ -94,7 +94,7 @@
             flow::Event::Ended => pool::ServerOutcome::Success,
             _ => pool::ServerOutcome::Unknown,
         };
-        placing::note_end(&self.ticket, &server, list::Role::Plain, end);
+        selection::record_end(&self.ticket, &server, list::Role::Plain, end);
         event
     }
 
--- a/crates/entry/src/placing.rs
+++ b/crates/entry/src/selection.rs
@@ -1,4 +1,4 @@
-//! Chooses servers for the attempts of a request, and notes what became of them.
+//! Selects a server for each attempt of a request, and records the outcome of the attempt.
 
 use std::time;
 
@@ -7,13 +7,13 @@
 
 use crate::admit;
 
-/// Part of a prompt by which servers with its prefix are found.
+/// Length of the prompt prefix that is hashed for affinity, in characters.
 const PREFIX_CHARS: usize = 256;
 
-/// Chooses a server of `role` for the request.
+/// Selects a server of `role` for the next attempt; `None` if there is none.
 ///
-/// A request with an idempotency key goes to the home of the key, but for its prefill. A prompt
-/// prefers the server that has its prefix.
+/// With an idempotency key, every role but prefill uses the owner of the key. A prefill prefers the
+/// server that is likely to have cached the prefix of `prompt`.
 pub(crate) fn choose(
     ticket: &admit::Ticket,
     role: list::Role,
@@ -33,9 +33,9 @@
         None => time::Duration::ZERO,
     };
     let by_work = prompt.is_some();
-    let wish = pool::Criteria { tried, affinity, random: rand::random(), by_work };
+    let criteria = pool::Criteria { tried, affinity, random: rand::random(), by_work };
     let pool = view.pool(service, role)?;
-    let server = pool.pick(wish, clock::now())?;
+    let server = pool.pick(criteria, clock::now())?;
     pool.record_sent(&server, work);
     Some(server)
 }
@@ -45,28 +45,28 @@
     ids::digest(&[prefix.as_bytes()])
 }
 
-/// Notes the end of an attempt at `server`.
-pub(crate) fn note_end(
+/// Records the end of an attempt at `server`.
+pub(crate) fn record_end(
     ticket: &admit::Ticket,
     server: &str,
     role: list::Role,
-    end: pool::ServerOutcome,
+    outcome: pool::ServerOutcome,
 ) {
     let mut view = ticket.entry.directory.view();
     if let Some(pool) = view.pool(&ticket.service.name, role) {
-        pool.record_end(server, end, clock::now());
+        pool.record_end(server, outcome, clock::now());
     }
 }
 
-/// Notes what became known later of the work of `server`.
-pub(crate) fn judge(
+/// Records an outcome of `server` that became known after the end of the attempt.
+pub(crate) fn record_outcome(
     ticket: &admit::Ticket,
     server: &str,
     role: list::Role,
-    end: pool::ServerOutcome,
+    outcome: pool::ServerOutcome,
 ) {
     let mut view = ticket.entry.directory.view();
     if let Some(pool) = view.pool(&ticket.service.name, role) {
-        pool.record_outcome(server, end, clock::now());
+        pool.record_outcome(server, outcome, clock::now());
     }
 }
