--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -8,7 +8,7 @@
 use rhubarb_node::{clock, responder};
 use rhubarb_wire::message;
 
-use crate::{admit, channel, openai, peer, refuse, selection, teller};
+use crate::{admit, channel, openai, peer, refuse, response_writer, selection};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -18,7 +18,7 @@
     ticket: admit::Ticket,
     targets: Targets,
     request: openai::Request,
-    teller: teller::Teller,
+    writer: response_writer::ResponseWriter,
     flow: flow::Flow,
     decode: Option<Placed>,
     prefilled: Option<message::Prefilled>,
@@ -68,7 +68,7 @@
         ticket: admit::Ticket,
         targets: Targets,
         request: openai::Request,
-        teller: teller::Teller,
+        writer: response_writer::ResponseWriter,
     ) -> Completion {
         let rules = flow::RetryPolicy::model(ticket.key.is_some(), ticket.deadline);
         let flow = flow::Flow::new(flow::Path::Staged, rules);
@@ -76,7 +76,7 @@
             ticket,
             targets,
             request,
-            teller,
+            writer,
             flow,
             decode: None,
             prefilled: None,
@@ -152,7 +152,7 @@
             excess: self.ticket.excess,
         });
         let mut run = peer.start(run, contact, order);
-        let waited = self.teller.reply.wait(run.next(), self.ticket.deadline).await;
+        let waited = self.writer.responder.wait(run.next(), self.ticket.deadline).await;
         self.decode = Some(Placed { server: server.clone(), run });
         match waited {
             responder::WaitOutcome::Event(channel::Event::Reserved) => flow::Event::Reserved,
@@ -217,7 +217,7 @@
             prompt: self.request.prompt.clone(),
         });
         let mut run = peer.start(run, contact, order);
-        match self.teller.reply.wait(run.next(), self.ticket.deadline).await {
+        match self.writer.responder.wait(run.next(), self.ticket.deadline).await {
             responder::WaitOutcome::Event(channel::Event::Prefilled(prefilled)) => {
                 self.count_prefill(&prefilled);
                 self.prefilled = Some(prefilled);
@@ -268,7 +268,7 @@
             let Some(placed) = &mut self.decode else {
                 return self.unreachable(None, self.ticket.key.is_some());
             };
-            match self.teller.reply.wait(placed.run.next(), self.ticket.deadline).await {
+            match self.writer.responder.wait(placed.run.next(), self.ticket.deadline).await {
                 responder::WaitOutcome::Event(
                     channel::Event::Head(_) | channel::Event::Reserved,
                 ) => {}
@@ -308,7 +308,7 @@
         self.sent += 1;
         // The prefill is of use once a token came of it.
         self.prefilled = None;
-        self.teller.token(token, self.ticket.deadline).await
+        self.writer.write_token(token, self.ticket.deadline).await
     }
 
     // A result that was evicted or never came speaks against the server that prefilled it, one
@@ -342,7 +342,7 @@
     async fn finish(&mut self) {
         let reason = if self.sent >= self.request.max_tokens { "length" } else { "stop" };
         let usage = openai::Usage { prompt: self.prompt_tokens, output: u64::from(self.sent) };
-        let is_whole = self.teller.finish(reason, usage, self.ticket.deadline).await;
+        let is_whole = self.writer.finish(reason, usage, self.ticket.deadline).await;
         self.release(None);
         if is_whole {
             self.count_answer();
@@ -366,7 +366,7 @@
     async fn refuse(&mut self, refusal: Refusal) {
         self.release(Some(refusal.reason));
         self.ticket.close(refusal.outcome, Some(refusal.reason));
-        self.teller.refuse(refusal).await;
+        self.writer.refuse(refusal).await;
     }
 }
 
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -7,7 +7,7 @@
 use rhubarb_core::{list, outcome};
 use rhubarb_node::{clock, responder, response, shared_settings};
 
-use crate::{admit, completion, entry, openai, plain, refuse, request_id, teller};
+use crate::{admit, completion, entry, openai, plain, refuse, request_id, response_writer};
 
 use outcome::{Reason, Refusal};
 
@@ -102,8 +102,8 @@
     };
     let style = openai::Style { form, id: id.to_string(), model: request.model.clone() };
     let (reply, answer) = responder::Responder::new();
-    let teller = teller::Teller::new(reply, style, request.stream);
-    let completion = completion::Completion::new(ticket, targets, request, teller);
+    let writer = response_writer::ResponseWriter::new(reply, style, request.stream);
+    let completion = completion::Completion::new(ticket, targets, request, writer);
     tokio::spawn(completion.drive());
     Ok(answer.await.unwrap_or_else(|_| broken()))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -28,9 +28,9 @@
 mod plain;
 mod refuse;
 mod request_id;
+mod response_writer;
 mod run;
 mod selection;
-mod teller;
 mod view;
 
 pub use run::run;
