--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -73,11 +73,12 @@
     let key = read_key(headers, &service.name, &caller.name)?;
     let keyed = key.is_some();
     if entry.is_leaving() {
-        return Err(refuse::own(Refusal::not_run(Reason::Leaving, LEAVING_RETRY), keyed));
+        return Err(refuse::local_refusal(Refusal::not_run(Reason::Leaving, LEAVING_RETRY), keyed));
     }
     let deadline = read_deadline(headers, service.deadline)?;
     let arrived = clock::now();
-    admit_caller(entry, caller, arrived).map_err(|refusal| refuse::own(refusal, keyed))?;
+    admit_caller(entry, caller, arrived)
+        .map_err(|refusal| refuse::local_refusal(refusal, keyed))?;
     entry.open.fetch_add(1, atomic::Ordering::Relaxed);
     entry.metrics.open.inc();
     let excess = {
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -111,7 +111,7 @@
     // A server that cannot be reached did not get the request; with a key, an earlier copy may
     // have reached it.
     fn unreachable(&self, server: Option<ids::ServerName>, keyed: bool) -> flow::Event {
-        let refusal = refuse::own(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
+        let refusal = refuse::local_refusal(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
         self.failed(server, refusal)
     }
 
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -34,7 +34,7 @@
         Ok(response) => response,
         Err((refusal, detail)) => {
             entry.count_refusal(refusal.reason);
-            refuse::answer(refusal, detail.as_deref())
+            refuse::error_response(refusal, detail.as_deref())
         }
     };
     request_id::insert(response.headers_mut(), &id);
@@ -98,7 +98,7 @@
         let refusal = Refusal::permanent(Reason::BadRequest);
         ticket.close(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{}` is a plain service", request.model);
-        return Ok(refuse::answer(refusal, Some(&detail)));
+        return Ok(refuse::error_response(refusal, Some(&detail)));
     };
     let style = openai::Style { form, id: id.to_string(), model: request.model.clone() };
     let (reply, answer) = responder::Responder::new();
@@ -123,13 +123,13 @@
         let refusal = Refusal::permanent(Reason::BadRequest);
         ticket.close(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{service}` is a model; use /v1/completions");
-        return Ok(refuse::answer(refusal, Some(&detail)));
+        return Ok(refuse::error_response(refusal, Some(&detail)));
     };
     let target = kind.target;
     if ticket.key.is_none() && ticket.service.needs_key(head.method.as_str(), &rest) {
         let refusal = Refusal::permanent(Reason::KeyMissing);
         ticket.close(refusal.outcome, Some(refusal.reason));
-        return Ok(refuse::answer(refusal, None));
+        return Ok(refuse::error_response(refusal, None));
     }
     let query = head.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
     let call = plain::Call {
@@ -146,7 +146,7 @@
 
 // The driver ended without an answer, which only happens when it failed itself.
 fn broken() -> Reply {
-    refuse::answer(
+    refuse::error_response(
         Refusal::unknown(Reason::EngineFailed, std::time::Duration::from_secs(1)),
         Some("the request's task ended early"),
     )
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -81,7 +81,8 @@
 
     async fn attempt(&mut self) -> flow::Event {
         let keyed = self.ticket.key.is_some();
-        let unreachable = refuse::own(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
+        let unreachable =
+            refuse::local_refusal(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
         let Some(server) =
             selection::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
         else {
@@ -169,7 +170,7 @@
         if self.reply.has_started() {
             return self.reply.abort(refusal.reason.name()).await;
         }
-        let mut response = refuse::answer(refusal, None);
+        let mut response = refuse::error_response(refusal, None);
         request_id::insert(response.headers_mut(), &self.call.id);
         self.reply.respond(response);
     }
--- a/crates/entry/src/refuse.rs
+++ b/crates/entry/src/refuse.rs
@@ -1,4 +1,4 @@
-//! HTTP answers that are not the backend's own.
+//! Error responses that the entry makes itself.
 
 use std::time;
 
@@ -10,22 +10,22 @@
 
 use outcome::{Outcome, Reason, Refusal};
 
-/// Header that tells whether the request ran.
-pub(crate) const OUTCOME: &str = "rhubarb-outcome";
+/// Header that reports whether the request ran.
+pub(crate) const OUTCOME_HEADER: &str = "rhubarb-outcome";
 
-/// Answer that refuses a request.
-pub(crate) fn answer(refusal: Refusal, detail: Option<&str>) -> Response<response::Body> {
-    let mut answer = response::json(status(&refusal), &body(refusal, detail));
-    let headers = answer.headers_mut();
-    headers.insert(OUTCOME, header::HeaderValue::from_static(refusal.outcome.name()));
+/// Builds the error response of a refusal; `detail` precedes the advice to the caller.
+pub(crate) fn error_response(refusal: Refusal, detail: Option<&str>) -> Response<response::Body> {
+    let mut response = response::json(status(&refusal), &error_body(refusal, detail));
+    let headers = response.headers_mut();
+    headers.insert(OUTCOME_HEADER, header::HeaderValue::from_static(refusal.outcome.name()));
     if let Some(retry) = refusal.retry {
         headers.insert(header::RETRY_AFTER, header::HeaderValue::from(whole_seconds(retry)));
     }
-    answer
+    response
 }
 
-/// JSON error of a refusal; also the last event of a broken stream.
-pub(crate) fn body(refusal: Refusal, detail: Option<&str>) -> serde_json::Value {
+/// Builds the JSON error object of a refusal, which is also the last event of an aborted stream.
+pub(crate) fn error_body(refusal: Refusal, detail: Option<&str>) -> serde_json::Value {
     let remedy = refusal.reason.remedy();
     let message = detail.map_or(remedy.to_string(), |detail| format!("{detail}; {remedy}"));
     json!({
@@ -38,8 +38,11 @@
     })
 }
 
-/// Refusal that an entry makes on its own; with a key an earlier copy may have run.
-pub(crate) fn own(refusal: Refusal, keyed: bool) -> Refusal {
+/// Adjusts a refusal that the entry decides without an agent.
+///
+/// With an idempotency key the outcome is unknown, because an earlier copy of the request may have
+/// run.
+pub(crate) fn local_refusal(refusal: Refusal, keyed: bool) -> Refusal {
     if keyed { Refusal { outcome: Outcome::Unknown, ..refusal } } else { refusal }
 }
 
--- a/crates/entry/src/response_writer.rs
+++ b/crates/entry/src/response_writer.rs
@@ -78,9 +78,9 @@
     /// A stream that has started gets an error event and is aborted.
     pub(crate) async fn refuse(&mut self, refusal: outcome::Refusal) {
         if !self.responder.has_started() {
-            return self.respond(refuse::answer(refusal, None));
+            return self.respond(refuse::error_response(refusal, None));
         }
-        let event = format!("data: {}\n\n", refuse::body(refusal, None));
+        let event = format!("data: {}\n\n", refuse::error_body(refusal, None));
         self.responder.send(event.into(), clock::now() + ERROR_EVENT_TIMEOUT).await;
         self.responder.abort(refusal.reason.name()).await;
     }
