--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -51,13 +51,13 @@
 ) -> Result<Reply, Failure> {
     let caller = admit::authenticate(entry, &head.headers).map_err(plain_failure)?;
     let content = read_body(entry, content).await?;
-    let form = match head.uri.path() {
-        "/v1/completions" => Some(openai::Form::Text),
-        "/v1/chat/completions" => Some(openai::Form::Chat),
+    let endpoint = match head.uri.path() {
+        "/v1/completions" => Some(openai::Endpoint::Text),
+        "/v1/chat/completions" => Some(openai::Endpoint::Chat),
         _ => None,
     };
-    match form {
-        Some(form) => serve_model(entry, &caller, form, head, &content, id).await,
+    match endpoint {
+        Some(endpoint) => serve_model(entry, &caller, endpoint, head, &content, id).await,
         None => serve_plain(entry, &caller, head, content, id).await,
     }
 }
@@ -82,7 +82,7 @@
 async fn serve_model(
     entry: &Shared,
     caller: &list::Caller,
-    form: openai::Form,
+    endpoint: openai::Endpoint,
     head: &http::request::Parts,
     content: &[u8],
     id: &str,
@@ -91,7 +91,7 @@
         return Err((Refusal::permanent(Reason::BadMethod), Some("use POST".to_string())));
     }
     let bad = |detail| (Refusal::permanent(Reason::BadRequest), Some(detail));
-    let request = openai::read(form, content).map_err(bad)?;
+    let request = openai::parse_request(endpoint, content).map_err(bad)?;
     let ticket = admit::admit(entry, caller, &request.model, &head.headers);
     let mut ticket = ticket.map_err(plain_failure)?;
     let Some(targets) = completion::Targets::of(&ticket.service) else {
@@ -100,9 +100,9 @@
         let detail = format!("`{}` is a plain service", request.model);
         return Ok(refuse::error_response(refusal, Some(&detail)));
     };
-    let style = openai::Style { form, id: id.to_string(), model: request.model.clone() };
+    let encoder = openai::Encoder { endpoint, id: id.to_string(), model: request.model.clone() };
     let (reply, answer) = responder::Responder::new();
-    let writer = response_writer::ResponseWriter::new(reply, style, request.stream);
+    let writer = response_writer::ResponseWriter::new(reply, encoder, request.stream);
     let completion = completion::Completion::new(ticket, targets, request, writer);
     tokio::spawn(completion.drive());
     Ok(answer.await.unwrap_or_else(|_| broken()))
--- a/crates/entry/src/openai.rs
+++ b/crates/entry/src/openai.rs
@@ -1,20 +1,20 @@
-//! OpenAI form of requests and answers.
+//! Requests and responses of the OpenAI-compatible API.
 
 use serde::Deserialize;
 use serde_json::json;
 
 use rhubarb_node::clock;
 
-/// Form of the endpoint.
+/// Endpoint that a request was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
+pub(crate) enum Endpoint {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-/// A request that has been read.
+/// A parsed request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) model: String,
@@ -40,20 +40,21 @@
     content: String,
 }
 
-const MAX_TOKENS: u32 = 256;
+/// Token limit of a request that sets none.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Reads a request body.
+/// Parses a request body.
 ///
 /// # Errors
-/// Returns a message for the caller.
-pub(crate) fn read(form: Form, body: &[u8]) -> Result<Request, String> {
+/// Returns an error message for the caller.
+pub(crate) fn parse_request(endpoint: Endpoint, body: &[u8]) -> Result<Request, String> {
     let raw: Raw = serde_json::from_slice(body).map_err(|err| format!("not valid JSON: {err}"))?;
     if raw.n.is_some_and(|n| n != 1) {
         return Err("`n` must be 1".to_string());
     }
-    let prompt = match form {
-        Form::Text => read_prompt(raw.prompt)?,
-        Form::Chat => read_messages(raw.messages)?,
+    let prompt = match endpoint {
+        Endpoint::Text => read_prompt(raw.prompt)?,
+        Endpoint::Chat => read_messages(raw.messages)?,
     };
     if raw.max_tokens == Some(0) || raw.max_completion_tokens == Some(0) {
         return Err("`max_tokens` must be positive".to_string());
@@ -61,7 +62,7 @@
     Ok(Request {
         model: raw.model.ok_or("`model` is missing")?,
         prompt,
-        max_tokens: raw.max_completion_tokens.or(raw.max_tokens).unwrap_or(MAX_TOKENS),
+        max_tokens: raw.max_completion_tokens.or(raw.max_tokens).unwrap_or(DEFAULT_MAX_TOKENS),
         stream: raw.stream.unwrap_or(false),
     })
 }
@@ -81,39 +82,39 @@
     Ok(lines.collect())
 }
 
-/// What all answers to one request have in common.
+/// Encodes the responses to one request.
 #[derive(Clone, Debug)]
-pub(crate) struct Style {
-    pub(crate) form: Form,
+pub(crate) struct Encoder {
+    pub(crate) endpoint: Endpoint,
     pub(crate) id: String,
     pub(crate) model: String,
 }
 
-impl Style {
-    /// Event with one token.
-    pub(crate) fn event(&self, token: &str) -> String {
-        let choice = match self.form {
-            Form::Text => json!({ "index": 0, "text": token, "finish_reason": null }),
-            Form::Chat => {
+impl Encoder {
+    /// Encodes the stream event of one token.
+    pub(crate) fn token_event(&self, token: &str) -> String {
+        let choice = match self.endpoint {
+            Endpoint::Text => json!({ "index": 0, "text": token, "finish_reason": null }),
+            Endpoint::Chat => {
                 json!({ "index": 0, "delta": { "content": token }, "finish_reason": null })
             }
         };
-        self.sse(choice)
+        self.sse_event(choice)
     }
 
-    /// Last event of a whole answer, and the end mark.
+    /// Encodes the last event of a complete stream, followed by the `[DONE]` terminator.
     pub(crate) fn last_event(&self, reason: &str) -> String {
-        let choice = match self.form {
-            Form::Text => json!({ "index": 0, "text": "", "finish_reason": reason }),
-            Form::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
+        let choice = match self.endpoint {
+            Endpoint::Text => json!({ "index": 0, "text": "", "finish_reason": reason }),
+            Endpoint::Chat => json!({ "index": 0, "delta": {}, "finish_reason": reason }),
         };
-        format!("{}data: [DONE]\n\n", self.sse(choice))
+        format!("{}data: [DONE]\n\n", self.sse_event(choice))
     }
 
-    fn sse(&self, choice: serde_json::Value) -> String {
-        let object = match self.form {
-            Form::Text => "text_completion",
-            Form::Chat => "chat.completion.chunk",
+    fn sse_event(&self, choice: serde_json::Value) -> String {
+        let object = match self.endpoint {
+            Endpoint::Text => "text_completion",
+            Endpoint::Chat => "chat.completion.chunk",
         };
         let event = json!({
             "id": self.id,
@@ -125,13 +126,13 @@
         format!("data: {event}\n\n")
     }
 
-    /// Whole answer as one JSON body.
-    pub(crate) fn whole(&self, text: &str, reason: &str, usage: Usage) -> serde_json::Value {
-        let (object, choice) = match self.form {
-            Form::Text => {
+    /// Encodes a complete response as one JSON body.
+    pub(crate) fn json_body(&self, text: &str, reason: &str, usage: Usage) -> serde_json::Value {
+        let (object, choice) = match self.endpoint {
+            Endpoint::Text => {
                 ("text_completion", json!({ "index": 0, "text": text, "finish_reason": reason }))
             }
-            Form::Chat => {
+            Endpoint::Chat => {
                 let message = json!({ "role": "assistant", "content": text });
                 let choice = json!({ "index": 0, "message": message, "finish_reason": reason });
                 ("chat.completion", choice)
@@ -152,7 +153,7 @@
     }
 }
 
-/// Tokens of a request.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
     pub(crate) prompt: u64,
--- a/crates/entry/src/response_writer.rs
+++ b/crates/entry/src/response_writer.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct ResponseWriter {
     pub(crate) responder: responder::Responder,
-    style: openai::Style,
+    encoder: openai::Encoder,
     stream: bool,
     text: String,
 }
@@ -25,10 +25,10 @@
 impl ResponseWriter {
     pub(crate) fn new(
         responder: responder::Responder,
-        style: openai::Style,
+        encoder: openai::Encoder,
         stream: bool,
     ) -> ResponseWriter {
-        ResponseWriter { responder, style, stream, text: String::new() }
+        ResponseWriter { responder, encoder, stream, text: String::new() }
     }
 
     /// Writes one token; false if it cannot be sent to the caller before `deadline`.
@@ -38,7 +38,7 @@
             return true;
         }
         self.start_stream();
-        let event = Bytes::from(self.style.event(token));
+        let event = Bytes::from(self.encoder.token_event(token));
         self.responder.send(event, deadline).await
     }
 
@@ -52,7 +52,7 @@
         headers.insert(header::CONTENT_TYPE, content_type);
         let no_cache = header::HeaderValue::from_static("no-cache");
         headers.insert(header::CACHE_CONTROL, no_cache);
-        request_id::insert(headers, &self.style.id);
+        request_id::insert(headers, &self.encoder.id);
         self.responder.start_stream(head);
     }
 
@@ -65,10 +65,10 @@
     ) -> bool {
         if self.stream {
             self.start_stream();
-            let event = Bytes::from(self.style.last_event(reason));
+            let event = Bytes::from(self.encoder.last_event(reason));
             return self.responder.send(event, deadline).await;
         }
-        let body = self.style.whole(&self.text, reason, usage);
+        let body = self.encoder.json_body(&self.text, reason, usage);
         self.respond(response::json(StatusCode::OK, &body));
         true
     }
@@ -86,7 +86,7 @@
     }
 
     fn respond(&mut self, mut response: Response<response::Body>) {
-        request_id::insert(response.headers_mut(), &self.style.id);
+        request_id::insert(response.headers_mut(), &self.encoder.id);
         self.responder.respond(response);
     }
 }
