--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: who calls, what they may use, and their limits.
+//! Admission of requests: authentication, authorization and the limits of callers.
 
 use std::{sync, sync::atomic, time};
 
@@ -11,15 +11,18 @@
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
+/// Retry delay of a request rejected during shutdown.
 const LEAVING_RETRY: time::Duration = time::Duration::from_millis(200);
 const MAX_KEY_BYTES: usize = 255;
 
-/// Header that names a request which may not be repeated.
-pub(crate) const KEY: &str = "idempotency-key";
-/// Header that shortens the deadline, in milliseconds.
-pub(crate) const DEADLINE: &str = "rhubarb-deadline-ms";
+/// Header with the idempotency key; a request that carries one runs at most once.
+const KEY_HEADER: &str = "idempotency-key";
+/// Header with a deadline shorter than that of the service, in milliseconds from arrival.
+const DEADLINE_HEADER: &str = "rhubarb-deadline-ms";
 
-/// An admitted request; it is counted and its place freed when this is dropped.
+/// An admitted request.
+///
+/// Dropping the ticket counts the outcome and releases the request from the caller's limit.
 #[derive(Debug)]
 pub(crate) struct Ticket {
     pub(crate) entry: sync::Arc<entry::Entry>,
@@ -30,7 +33,7 @@
     pub(crate) deadline: time::Instant,
     /// Whether the caller is above its fair share.
     pub(crate) excess: bool,
-    fate: (Outcome, Option<Reason>),
+    result: (Outcome, Option<Reason>),
 }
 
 /// Idempotency key of a request.
@@ -40,7 +43,7 @@
     pub(crate) hash: ids::KeyHash,
 }
 
-/// Finds the caller whose key the headers carry.
+/// Authenticates the caller by the API key in the `authorization` header.
 pub(crate) fn authenticate(
     entry: &entry::Entry,
     headers: &HeaderMap,
@@ -58,7 +61,7 @@
     caller.cloned().ok_or(Refusal::permanent(Reason::UnknownCaller))
 }
 
-/// Admits a request of `caller` to `service`.
+/// Admits a request of `caller` to `service`, or returns the refusal.
 pub(crate) fn admit(
     entry: &sync::Arc<entry::Entry>,
     caller: &list::Caller,
@@ -94,7 +97,7 @@
         arrived,
         deadline: arrived + deadline,
         excess,
-        fate: (Outcome::Cancelled, Some(Reason::CallerGone)),
+        result: (Outcome::Cancelled, Some(Reason::CallerGone)),
     })
 }
 
@@ -105,33 +108,33 @@
 ) -> Result<(), Refusal> {
     let entries = entry.directory.view().entries();
     let mut limits = entry.limits();
-    let fresh = || limit::CallerLimiter::new(caller.rate, entries, now);
-    let limit = limits.entry(caller.name.clone()).or_insert_with(fresh);
-    limit.admit(caller.rate, caller.concurrent, entries, now)
+    let new_limiter = || limit::CallerLimiter::new(caller.rate, entries, now);
+    let limiter = limits.entry(caller.name.clone()).or_insert_with(new_limiter);
+    limiter.admit(caller.rate, caller.concurrent, entries, now)
 }
 
 fn read_key(headers: &HeaderMap, service: &str, caller: &str) -> Result<Option<Key>, Refusal> {
-    let Some(value) = headers.get(KEY) else { return Ok(None) };
-    let bad = Refusal::permanent(Reason::BadRequest);
-    let text = value.to_str().map_err(|_| bad)?.to_string();
+    let Some(value) = headers.get(KEY_HEADER) else { return Ok(None) };
+    let invalid = Refusal::permanent(Reason::BadRequest);
+    let text = value.to_str().map_err(|_| invalid)?.to_string();
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
-        return Err(bad);
+        return Err(invalid);
     }
     let hash = ids::key_hash(service, caller, &text);
     Ok(Some(Key { text, hash }))
 }
 
-fn read_deadline(headers: &HeaderMap, longest: time::Duration) -> Result<time::Duration, Refusal> {
-    let Some(value) = headers.get(DEADLINE) else { return Ok(longest) };
+fn read_deadline(headers: &HeaderMap, max: time::Duration) -> Result<time::Duration, Refusal> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else { return Ok(max) };
     let millis = value.to_str().ok().and_then(|value| value.parse().ok());
     let millis = millis.ok_or(Refusal::permanent(Reason::BadRequest))?;
-    Ok(longest.min(time::Duration::from_millis(millis)))
+    Ok(max.min(time::Duration::from_millis(millis)))
 }
 
 impl Ticket {
-    /// Sets what is counted when the ticket is dropped.
-    pub(crate) fn close(&mut self, outcome: Outcome, reason: Option<Reason>) {
-        self.fate = (outcome, reason);
+    /// Sets the outcome to be counted when the ticket is dropped.
+    pub(crate) fn set_outcome(&mut self, outcome: Outcome, reason: Option<Reason>) {
+        self.result = (outcome, reason);
     }
 
     /// Time left until the deadline.
@@ -142,9 +145,9 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        let (outcome, reason) = self.fate;
-        if let Some(limit) = self.entry.limits().get_mut(&self.caller) {
-            limit.release();
+        let (outcome, reason) = self.result;
+        if let Some(limiter) = self.entry.limits().get_mut(&self.caller) {
+            limiter.release();
         }
         self.entry.open.fetch_sub(1, atomic::Ordering::Relaxed);
         self.entry.metrics.open.dec();
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -346,7 +346,7 @@
         self.release(None);
         if is_whole {
             self.count_answer();
-            self.ticket.close(Outcome::Answered, None);
+            self.ticket.set_outcome(Outcome::Answered, None);
         }
     }
 
@@ -365,7 +365,7 @@
 
     async fn refuse(&mut self, refusal: Refusal) {
         self.release(Some(refusal.reason));
-        self.ticket.close(refusal.outcome, Some(refusal.reason));
+        self.ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         self.writer.refuse(refusal).await;
     }
 }
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -96,7 +96,7 @@
     let mut ticket = ticket.map_err(plain_failure)?;
     let Some(targets) = completion::Targets::of(&ticket.service) else {
         let refusal = Refusal::permanent(Reason::BadRequest);
-        ticket.close(refusal.outcome, Some(refusal.reason));
+        ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{}` is a plain service", request.model);
         return Ok(refuse::error_response(refusal, Some(&detail)));
     };
@@ -121,14 +121,14 @@
     let mut ticket = admit::admit(entry, caller, service, &head.headers).map_err(plain_failure)?;
     let list::Kind::Plain(kind) = &ticket.service.kind else {
         let refusal = Refusal::permanent(Reason::BadRequest);
-        ticket.close(refusal.outcome, Some(refusal.reason));
+        ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{service}` is a model; use /v1/completions");
         return Ok(refuse::error_response(refusal, Some(&detail)));
     };
     let target = kind.target;
     if ticket.key.is_none() && ticket.service.needs_key(head.method.as_str(), &rest) {
         let refusal = Refusal::permanent(Reason::KeyMissing);
-        ticket.close(refusal.outcome, Some(refusal.reason));
+        ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         return Ok(refuse::error_response(refusal, None));
     }
     let query = head.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -60,7 +60,7 @@
             flow::Step::Send => return Some(self.attempt().await),
             flow::Step::Finish => {
                 self.count_answer();
-                self.ticket.close(Outcome::Answered, None);
+                self.ticket.set_outcome(Outcome::Answered, None);
             }
             flow::Step::Refuse(refusal) => self.refuse(refusal).await,
             // A plain call holds nothing and has no stages.
@@ -166,7 +166,7 @@
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
-        self.ticket.close(refusal.outcome, Some(refusal.reason));
+        self.ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         if self.reply.has_started() {
             return self.reply.abort(refusal.reason.name()).await;
         }
