--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -75,7 +75,7 @@
     }
     let key = read_key(headers, &service.name, &caller.name)?;
     let keyed = key.is_some();
-    if entry.is_leaving() {
+    if entry.rejects_requests() {
         return Err(refuse::local_refusal(Refusal::not_run(Reason::Leaving, LEAVING_RETRY), keyed));
     }
     let deadline = read_deadline(headers, service.deadline)?;
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! State shared by the parts of an entry.
+//! State shared by the tasks of an entry.
 
 use std::{collections, sync, sync::atomic, time};
 
@@ -9,17 +9,18 @@
 
 use crate::{backend, dial, directory, settings, view};
 
-/// One entry.
+/// Shared state of one entry.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) settings: settings::Settings,
     pub(crate) client: client::Client,
     pub(crate) table: table::Table,
     pub(crate) objects: objects::Objects,
-    pub(crate) metrics: Counters,
+    pub(crate) metrics: EntryMetrics,
     pub(crate) directory: sync::Arc<directory::Directory>,
     pub(crate) backend: backend::Backend,
-    stopped_at: sync::OnceLock<time::Instant>,
+    stopping_since: sync::OnceLock<time::Instant>,
+    /// Requests in flight.
     pub(crate) open: atomic::AtomicU64,
     limits: sync::Mutex<collections::BTreeMap<ids::CallerName, limit::CallerLimiter>>,
     ledger: sync::Mutex<usage::Ledger>,
@@ -27,7 +28,7 @@
 
 /// Metrics of the entry.
 #[derive(Debug)]
-pub(crate) struct Counters {
+pub(crate) struct EntryMetrics {
     pub(crate) registry: metrics::Metrics,
     pub(crate) requests: metrics::RequestMetrics,
     pub(crate) open: gauge::Gauge,
@@ -35,10 +36,10 @@
     pub(crate) pending: gauge::Gauge,
 }
 
-impl Counters {
-    fn new() -> Counters {
+impl EntryMetrics {
+    fn new() -> EntryMetrics {
         let registry = metrics::Metrics::new("rhubarb_entry");
-        Counters {
+        EntryMetrics {
             requests: registry.requests(),
             open: registry.gauge("open", "Requests in flight"),
             version: registry.gauge("list_version", "Version of the service list in force"),
@@ -53,7 +54,7 @@
         let client = client::Client::new();
         let incarnation = rand::random();
         let ledger = usage::Ledger::new(settings.name.clone(), incarnation, clock::unix_ms());
-        let metrics = Counters::new();
+        let metrics = EntryMetrics::new();
         let view = view::View::new(&settings.name, &settings.zone, settings.subset);
         let directory = directory::Directory::new(view, metrics.version.clone());
         let directory = sync::Arc::new(directory);
@@ -66,7 +67,7 @@
             objects: objects::Objects::new(client.clone(), &settings.platform.objects),
             client,
             metrics,
-            stopped_at: sync::OnceLock::new(),
+            stopping_since: sync::OnceLock::new(),
             open: atomic::AtomicU64::new(0),
             limits: sync::Mutex::default(),
             ledger: sync::Mutex::new(ledger),
@@ -84,22 +85,23 @@
         locks::lock(&self.ledger)
     }
 
-    /// Counts a refusal.
+    /// Counts a refusal in the metrics.
     pub(crate) fn count_refusal(&self, reason: outcome::Reason) {
         self.metrics.requests.refused.get_or_create(&metrics::reason_labels(reason)).inc();
     }
 
-    /// Takes a retry from the budget of a service, and counts it.
-    pub(crate) fn take_retry(&self, service: &str, caller: &str, reason: outcome::Reason) -> bool {
-        let taken = self.directory.view().budget(service).try_withdraw(reason);
-        if taken {
+    /// Withdraws a retry from the budget of a service and counts it; false if the budget is
+    /// exhausted.
+    pub(crate) fn try_retry(&self, service: &str, caller: &str, reason: outcome::Reason) -> bool {
+        let allowed = self.directory.view().budget(service).try_withdraw(reason);
+        if allowed {
             self.metrics.requests.retried.get_or_create(&metrics::reason_labels(reason)).inc();
             self.ledger().totals(service, caller).count_retry(reason);
         }
-        taken
+        allowed
     }
 
-    /// Counts prompt tokens that were prefilled in vain.
+    /// Counts prompt tokens whose prefill was wasted.
     pub(crate) fn count_waste(
         &self,
         service: &str,
@@ -111,18 +113,21 @@
         self.ledger().totals(service, caller).count_waste(reason, tokens);
     }
 
-    /// Starts to leave: the balancer is told first, then new requests are refused.
-    pub(crate) fn stop(&self) {
-        self.stopped_at.get_or_init(clock::now);
+    /// Begins the shutdown.
+    ///
+    /// The readiness check fails at once; new requests are rejected after the notice period, by
+    /// when the balancer sends no more.
+    pub(crate) fn begin_shutdown(&self) {
+        self.stopping_since.get_or_init(clock::now);
     }
 
-    /// Whether the balancer is to send no more requests.
+    /// Whether the shutdown has begun, so that the balancer should send no more requests.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.stopped_at.get().is_some()
+        self.stopping_since.get().is_some()
     }
 
-    /// Whether new requests are refused.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.stopped_at.get().is_some_and(|at| clock::now() >= *at + self.settings.notice)
+    /// Whether new requests are rejected because the notice period is over.
+    pub(crate) fn rejects_requests(&self) -> bool {
+        self.stopping_since.get().is_some_and(|at| clock::now() >= *at + self.settings.notice)
     }
 }
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -189,6 +189,6 @@
     if !shared_settings::is_operator(&entry.settings.keys, &head.headers) {
         return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
-    entry.stop();
+    entry.begin_shutdown();
     response::text(StatusCode::OK, "draining\n")
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -75,7 +75,7 @@
     fn failed(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
         let ticket = &self.ticket;
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
-            && ticket.entry.take_retry(&ticket.service.name, &ticket.caller, refusal.reason);
+            && ticket.entry.try_retry(&ticket.service.name, &ticket.caller, refusal.reason);
         flow::Event::Failed { server, refusal, retry }
     }
 
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -30,7 +30,7 @@
         ingress::handle(shared.clone(), request)
     }));
     signals::wait_for_stop().await?;
-    entry.stop();
+    entry.begin_shutdown();
     drain(&entry).await;
     flushing.abort();
     flush(&entry).await;
