--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -13,37 +13,37 @@
     pub name: String,
     /// Availability zone.
     pub zone: ids::ZoneName,
-    /// Address for callers, metrics and health.
+    /// Listen address for callers, metrics and health checks.
     pub listen: net::SocketAddr,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Most connections from callers.
+    /// Maximum number of connections from callers.
     pub connections: usize,
-    /// Servers followed in each pool.
+    /// Maximum number of servers followed in each pool.
     pub subset: usize,
-    /// Time between two usage records.
+    /// Interval between usage records.
     pub flush: time::Duration,
-    /// Longest time to drain on a stop.
+    /// Maximum time to drain before the process exits.
     pub drain: time::Duration,
-    /// Time after a stop signal during which new requests are still served, until the balancer
-    /// has noticed.
+    /// Time from the start of a shutdown in which new requests are still served, so that the
+    /// balancer can detect the failing readiness check.
     pub notice: time::Duration,
-    /// Agents that are asked for the service list while the platform is away.
+    /// Agents from which the service list is fetched while the platform is unavailable.
     pub seeds: Vec<net::SocketAddr>,
-    /// Shared keys.
+    /// Shared keys of the deployment.
     pub keys: auth::Keys,
-    /// Platform.
+    /// Base URLs of the platform.
     pub platform: shared_settings::PlatformUrls,
-    /// Logs.
+    /// Log options.
     pub log: logs::Options,
 }
 
-const MAX_BODY: usize = 2 * 1024 * 1024;
-const CONNECTIONS: usize = 4096;
-const SUBSET: usize = 12;
-const FLUSH: time::Duration = time::Duration::from_secs(60);
-const DRAIN: time::Duration = time::Duration::from_secs(120);
-const NOTICE: time::Duration = time::Duration::from_secs(2);
+const DEFAULT_MAX_BODY: usize = 2 * 1024 * 1024;
+const DEFAULT_CONNECTIONS: usize = 4096;
+const DEFAULT_SUBSET: usize = 12;
+const DEFAULT_FLUSH: time::Duration = time::Duration::from_secs(60);
+const DEFAULT_DRAIN: time::Duration = time::Duration::from_secs(120);
+const DEFAULT_NOTICE: time::Duration = time::Duration::from_secs(2);
 
 /// Reads the settings file at `path`.
 ///
@@ -66,20 +66,20 @@
     let name = section.required("name");
     let zone = section.required("zone");
     let listen = settings::address(&mut section, "listen");
-    let whole = "a whole number";
-    let max_body = section.parsed("max_body", MAX_BODY, whole);
-    let connections = section.parsed("connections", CONNECTIONS, whole);
-    let subset = section.parsed("subset", SUBSET, whole);
-    let flush = section.duration("flush", FLUSH);
-    let drain = section.duration("drain", DRAIN);
-    let notice = section.duration("notice", NOTICE);
+    let expected = "a whole number";
+    let max_body = section.parsed("max_body", DEFAULT_MAX_BODY, expected);
+    let connections = section.parsed("connections", DEFAULT_CONNECTIONS, expected);
+    let subset = section.parsed("subset", DEFAULT_SUBSET, expected);
+    let flush = section.duration("flush", DEFAULT_FLUSH);
+    let drain = section.duration("drain", DEFAULT_DRAIN);
+    let notice = section.duration("notice", DEFAULT_NOTICE);
     let seeds = settings::addresses(&mut section, "seeds");
     let keys = shared_settings::read_keys(&mut section);
     file.close(section);
     let platform = shared_settings::PlatformUrls::read(&mut file);
     let log = shared_settings::read_log(&mut file);
     file.finish()?;
-    let keys = keys.expect("a missing key is a mistake");
+    let keys = keys.expect("`finish` reports missing keys");
     Ok(Settings {
         name,
         zone,
