--- a/crates/entry/src/ledger.rs
+++ b/crates/entry/src/ledger.rs
@@ -7,10 +7,10 @@
 
 use crate::entry;
 
-const RETRY: time::Duration = time::Duration::from_secs(1);
+const STORE_RETRY: time::Duration = time::Duration::from_secs(1);
 
-/// Closes a record each interval and stores it, until the task is dropped.
-pub(crate) async fn run(entry: sync::Arc<entry::Entry>) {
+/// Closes and stores a usage record in each interval, until the task is aborted.
+pub(crate) async fn flush_periodically(entry: sync::Arc<entry::Entry>) {
     let period = entry.settings.flush;
     let mut due = clock::now() + period;
     loop {
@@ -20,18 +20,18 @@
         }
         let is_stored = store_all(&entry).await;
         let until_due = due.saturating_duration_since(clock::now());
-        let pause = if is_stored { until_due } else { until_due.min(clock::jitter(RETRY)) };
+        let pause = if is_stored { until_due } else { until_due.min(clock::jitter(STORE_RETRY)) };
         tokio::time::sleep(pause.max(time::Duration::from_millis(10))).await;
     }
 }
 
-/// Stores all pending records; false if the store is away.
+/// Stores all pending records in order; false as soon as one cannot be stored.
 pub(crate) async fn store_all(entry: &entry::Entry) -> bool {
     loop {
         let next = entry.ledger().next_record().cloned();
         let Some(record) = next else { return true };
         let content = serde_json::json!(record).to_string();
-        let stored = entry.objects.put(&name(&record), content).await;
+        let stored = entry.objects.put(&object_name(&record), content).await;
         entry.metrics.pending.set(if stored.is_ok() { 0 } else { 1 });
         match stored {
             Ok(()) => entry.ledger().remove_stored(record.seq),
@@ -43,7 +43,7 @@
     }
 }
 
-// The name is the record's identity, so storing it again after a lost answer counts it once.
-fn name(record: &usage::Record) -> String {
+// The name identifies the record, so a write repeated after a lost response stores it only once.
+fn object_name(record: &usage::Record) -> String {
     format!("usage/{}/{:016x}/{:08}", record.entry, record.incarnation, record.seq)
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -24,7 +24,7 @@
     tracing::info!("entry: started as {}", entry.settings.name);
     tokio::spawn(lists::follow(entry.clone()));
     tokio::spawn(follow::run(entry.clone(), udp));
-    let flushing = tokio::spawn(ledger::run(entry.clone()));
+    let flushing = tokio::spawn(ledger::flush_periodically(entry.clone()));
     let shared = entry.clone();
     tokio::spawn(server::serve(listener, limits, move |request| {
         ingress::handle(shared.clone(), request)
