--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the entry's process.
+//! Startup and graceful shutdown of the entry's process.
 
 use std::{sync, sync::atomic, time};
 
@@ -8,10 +8,11 @@
 
 use crate::{entry, follow, ingress, ledger, lists, settings};
 
-const DRAIN_STEP: time::Duration = time::Duration::from_millis(20);
-const LAST_STORE: time::Duration = time::Duration::from_secs(10);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Time limit for storing the last usage records.
+const FINAL_FLUSH_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Runs an entry until a stop signal, then drains it.
+/// Runs an entry until it receives a stop signal, then drains it.
 ///
 /// # Errors
 /// Returns an error if an address cannot be bound or signals cannot be caught.
@@ -24,7 +25,7 @@
     tracing::info!("entry: started as {}", entry.settings.name);
     tokio::spawn(lists::follow(entry.clone()));
     tokio::spawn(follow::run(entry.clone(), udp));
-    let flushing = tokio::spawn(ledger::flush_periodically(entry.clone()));
+    let flush_task = tokio::spawn(ledger::flush_periodically(entry.clone()));
     let shared = entry.clone();
     tokio::spawn(server::serve(listener, limits, move |request| {
         ingress::handle(shared.clone(), request)
@@ -32,33 +33,33 @@
     signals::wait_for_stop().await?;
     entry.begin_shutdown();
     drain(&entry).await;
-    flushing.abort();
-    flush(&entry).await;
+    flush_task.abort();
+    flush_usage(&entry).await;
     Ok(())
 }
 
-// New requests are served until the balancer has noticed; those in flight end.
+// Waits for the notice period and then for the requests in flight, up to the drain limit.
 async fn drain(entry: &entry::Entry) {
-    tracing::info!("entry: stopping; requests in flight end first");
+    tracing::info!("entry: draining; waiting for requests in flight");
     let start = clock::now();
     loop {
-        let waited = clock::now() - start;
+        let elapsed = clock::now() - start;
         let is_idle = entry.open.load(atomic::Ordering::Relaxed) == 0;
-        if waited >= entry.settings.drain || (waited >= entry.settings.notice && is_idle) {
+        if elapsed >= entry.settings.drain || (elapsed >= entry.settings.notice && is_idle) {
             return;
         }
-        tokio::time::sleep(DRAIN_STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn flush(entry: &entry::Entry) {
+async fn flush_usage(entry: &entry::Entry) {
     entry.ledger().close(clock::unix_ms(), true);
-    let deadline = clock::now() + LAST_STORE;
+    let deadline = clock::now() + FINAL_FLUSH_TIMEOUT;
     while !ledger::store_all(entry).await {
         if clock::now() >= deadline {
-            return tracing::error!("entry: stopped with usage records that were not stored");
+            return tracing::error!("entry: stopped; some usage records were not stored");
         }
-        tokio::time::sleep(DRAIN_STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     tracing::info!("entry: stopped");
 }
