--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP entry of rhubarbloom: admission, limits, routing, retries and the one final answer.
+//! HTTP entry of rhubarbloom: admission, limits, routing, retries and exactly one final response for
+//! each request.
 //!
 //! ```
 //! use rhubarb_entry::settings;
