--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! Drives one model request: decode room, prefill, decode, answer.
+//! Drives one model request: slot reservation, prefill, decode and response.
 
 use std::time;
 
@@ -12,38 +12,40 @@
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
-/// One model request on its way.
+/// A model request in progress.
 #[derive(Debug)]
 pub(crate) struct Completion {
     ticket: admit::Ticket,
-    targets: Targets,
+    targets: LatencyTargets,
     request: openai::Request,
     writer: response_writer::ResponseWriter,
     flow: flow::Flow,
-    decode: Option<Placed>,
+    decode: Option<ServerRun>,
     prefilled: Option<message::Prefilled>,
-    // Server of the prefill of which no token came yet.
-    source: Option<ids::ServerName>,
-    pending: Vec<u8>,
-    sent: u32,
+    // Server that prefilled the prompt, until a token confirms that the result was usable.
+    prefill_server: Option<ids::ServerName>,
+    // Bytes received after the last complete line.
+    partial_line: Vec<u8>,
+    tokens_sent: u32,
     prompt_tokens: u64,
+    // Arrival of the first and of the last token.
     first_at: Option<time::Instant>,
     last_at: Option<time::Instant>,
 }
 
-/// What a service wants of its answers.
+/// Latency targets and maximum queueing time of a service.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Targets {
+pub(crate) struct LatencyTargets {
     first_token: time::Duration,
     between_tokens: time::Duration,
     max_wait: time::Duration,
 }
 
-impl Targets {
+impl LatencyTargets {
     /// Targets of a model service; `None` for a plain one.
-    pub(crate) fn of(service: &list::Service) -> Option<Targets> {
+    pub(crate) fn for_service(service: &list::Service) -> Option<LatencyTargets> {
         let list::Kind::Model(model) = &service.kind else { return None };
-        Some(Targets {
+        Some(LatencyTargets {
             first_token: model.first_token,
             between_tokens: model.between_tokens,
             max_wait: model.max_wait,
@@ -51,9 +53,9 @@
     }
 }
 
-/// A run at a server.
+/// A run and the server that executes it.
 #[derive(Debug)]
-struct Placed {
+struct ServerRun {
     server: ids::ServerName,
     run: peer::Run,
 }
@@ -66,12 +68,12 @@
 impl Completion {
     pub(crate) fn new(
         ticket: admit::Ticket,
-        targets: Targets,
+        targets: LatencyTargets,
         request: openai::Request,
         writer: response_writer::ResponseWriter,
     ) -> Completion {
-        let rules = flow::RetryPolicy::model(ticket.key.is_some(), ticket.deadline);
-        let flow = flow::Flow::new(flow::Path::Staged, rules);
+        let policy = flow::RetryPolicy::model(ticket.key.is_some(), ticket.deadline);
+        let flow = flow::Flow::new(flow::Path::Staged, policy);
         Completion {
             ticket,
             targets,
@@ -80,22 +82,22 @@
             flow,
             decode: None,
             prefilled: None,
-            source: None,
-            pending: Vec::new(),
-            sent: 0,
+            prefill_server: None,
+            partial_line: Vec::new(),
+            tokens_sent: 0,
             prompt_tokens: 0,
             first_at: None,
             last_at: None,
         }
     }
 
-    /// Runs the request to its one outcome.
+    /// Drives the request to its final outcome.
     pub(crate) async fn drive(mut self) {
-        let take = async |request: &mut Completion, step| request.take_step(step).await;
-        flow::drive(&mut self, |request| &mut request.flow, take).await;
+        let execute = async |request: &mut Completion, step| request.execute(step).await;
+        flow::drive(&mut self, |request| &mut request.flow, execute).await;
     }
 
-    async fn take_step(&mut self, step: flow::Step) -> Option<flow::Event> {
+    async fn execute(&mut self, step: flow::Step) -> Option<flow::Event> {
         match step {
             flow::Step::Reserve => return Some(self.reserve().await),
             flow::Step::Prefill => return Some(self.prefill().await),
@@ -108,14 +110,15 @@
         None
     }
 
-    // A server that cannot be reached did not get the request; with a key, an earlier copy may
-    // have reached it.
-    fn unreachable(&self, server: Option<ids::ServerName>, keyed: bool) -> flow::Event {
+    // The request was not sent to the server; with an idempotency key, an earlier copy may have
+    // reached it.
+    fn server_unreachable(&self, server: Option<ids::ServerName>, keyed: bool) -> flow::Event {
         let refusal = refuse::local_refusal(Refusal::not_run(Reason::NoServer, RETRY_SOON), keyed);
-        self.failed(server, refusal)
+        self.failure_event(server, refusal)
     }
 
-    fn failed(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
+    // Event of a failed attempt; withdraws a retry from the budget if the request may be retried.
+    fn failure_event(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
         let ticket = &self.ticket;
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
             && ticket.entry.try_retry(&ticket.service.name, &ticket.caller, refusal.reason);
@@ -128,10 +131,10 @@
             selection::choose(&self.ticket, list::Role::Decode, self.flow.tried(), None)
         else {
             self.ticket.entry.directory.want();
-            return self.unreachable(None, keyed);
+            return self.server_unreachable(None, keyed);
         };
         let Some(peer) = self.ticket.entry.backend.peer(&server) else {
-            return self.unreachable(Some(server), keyed);
+            return self.server_unreachable(Some(server), keyed);
         };
         let Some(contact) = peer.contact().await else {
             selection::record_end(
@@ -140,48 +143,49 @@
                 list::Role::Decode,
                 pool::ServerOutcome::Failure(Reason::NoServer),
             );
-            return self.unreachable(Some(server), keyed);
+            return self.server_unreachable(Some(server), keyed);
         };
-        let wait_by = self.ticket.deadline.min(clock::now() + self.targets.max_wait);
-        let run = self.ticket.entry.backend.next_run();
+        let wait_deadline = self.ticket.deadline.min(clock::now() + self.targets.max_wait);
+        let run_id = self.ticket.entry.backend.next_run();
         let order = message::ToAgent::Reserve(message::Reserve {
-            run,
+            run: run_id,
             key: self.ticket.key.as_ref().map(|key| key.hash),
-            wait_by_ms: contact.clock_at(wait_by),
+            wait_by_ms: contact.clock_at(wait_deadline),
             start_by_ms: contact.clock_at(self.ticket.deadline),
             excess: self.ticket.excess,
         });
-        let mut run = peer.start(run, contact, order);
-        let waited = self.writer.responder.wait(run.next(), self.ticket.deadline).await;
-        self.decode = Some(Placed { server: server.clone(), run });
-        match waited {
+        let mut run = peer.start(run_id, contact, order);
+        let result = self.writer.responder.wait(run.next(), self.ticket.deadline).await;
+        self.decode = Some(ServerRun { server: server.clone(), run });
+        match result {
             responder::WaitOutcome::Event(channel::Event::Reserved) => flow::Event::Reserved,
             responder::WaitOutcome::Event(channel::Event::Head(head)) => {
                 self.prompt_tokens = head.prompt_tokens().unwrap_or(0).into();
                 flow::Event::Replayed
             }
-            waited => self.interrupted(server, waited),
+            result => self.wait_failure_event(server, result),
         }
     }
 
-    fn interrupted(
+    // Converts the result of a wait other than the expected message into an event.
+    fn wait_failure_event(
         &self,
         server: ids::ServerName,
-        waited: responder::WaitOutcome<channel::Event>,
+        result: responder::WaitOutcome<channel::Event>,
     ) -> flow::Event {
-        match waited {
+        match result {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
-                self.failed(Some(server), refusal)
+                self.failure_event(Some(server), refusal)
             }
             responder::WaitOutcome::Event(_) => {
-                self.failed(Some(server), Refusal::unknown(Reason::EngineFailed, RETRY_SOON))
+                self.failure_event(Some(server), Refusal::unknown(Reason::EngineFailed, RETRY_SOON))
             }
         }
     }
 
-    // Nothing that a caller sees has run while the prompt is prefilled.
+    // A prefill produces no output for the caller, so an attempt that fails here counts as not run.
     async fn prefill(&mut self) -> flow::Event {
         let Some(server) = selection::choose(
             &self.ticket,
@@ -189,12 +193,12 @@
             self.flow.tried(),
             Some(&self.request.prompt),
         ) else {
-            return self.unreachable(None, false);
+            return self.server_unreachable(None, false);
         };
         let event = self.prefill_at(&server).await;
-        let end =
-            reason_of(&event).map_or(pool::ServerOutcome::Unknown, pool::ServerOutcome::Failure);
-        selection::record_end(&self.ticket, &server, list::Role::Prefill, end);
+        let outcome = failure_reason(&event)
+            .map_or(pool::ServerOutcome::Unknown, pool::ServerOutcome::Failure);
+        selection::record_end(&self.ticket, &server, list::Role::Prefill, outcome);
         event
     }
 
@@ -204,11 +208,11 @@
             None => None,
         };
         let Some((peer, contact)) = contact else {
-            return self.unreachable(Some(server.clone()), false);
+            return self.server_unreachable(Some(server.clone()), false);
         };
-        let run = self.ticket.entry.backend.next_run();
+        let run_id = self.ticket.entry.backend.next_run();
         let order = message::ToAgent::Prefill(message::Prefill {
-            run,
+            run: run_id,
             start_by_ms: contact.clock_at(self.ticket.deadline),
             due_ms: contact.clock_at(self.ticket.arrived + self.targets.first_token),
             max_wait_ms: self.targets.max_wait.as_millis() as u64,
@@ -216,23 +220,23 @@
             excess: self.ticket.excess,
             prompt: self.request.prompt.clone(),
         });
-        let mut run = peer.start(run, contact, order);
+        let mut run = peer.start(run_id, contact, order);
         match self.writer.responder.wait(run.next(), self.ticket.deadline).await {
             responder::WaitOutcome::Event(channel::Event::Prefilled(prefilled)) => {
-                self.count_prefill(&prefilled);
+                self.record_prefill(&prefilled);
                 self.prefilled = Some(prefilled);
-                self.source = Some(server.clone());
+                self.prefill_server = Some(server.clone());
                 flow::Event::Prefilled
             }
             responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
                 let refusal = Refusal { outcome: Outcome::NotRun, ..refusal };
-                self.failed(Some(server.clone()), refusal)
+                self.failure_event(Some(server.clone()), refusal)
             }
-            waited => self.interrupted(server.clone(), waited),
+            result => self.wait_failure_event(server.clone(), result),
         }
     }
 
-    fn count_prefill(&mut self, prefilled: &message::Prefilled) {
+    fn record_prefill(&mut self, prefilled: &message::Prefilled) {
         let tokens = u64::from(prefilled.tokens);
         self.prompt_tokens = tokens;
         let work = time::Duration::from_micros(prefilled.work_us);
@@ -244,92 +248,93 @@
     }
 
     async fn decode(&mut self) -> flow::Event {
-        let (Some(placed), Some(prefilled)) = (&self.decode, &self.prefilled) else {
-            return self.unreachable(None, self.ticket.key.is_some());
+        let (Some(decode), Some(prefilled)) = (&self.decode, &self.prefilled) else {
+            return self.server_unreachable(None, self.ticket.key.is_some());
         };
         let order = message::ToAgent::Decode(message::Decode {
-            run: placed.run.id,
+            run: decode.run.id,
             limit_ms: self.ticket.time_left().as_millis() as u64,
             source: prefilled.source.clone(),
             handle: prefilled.handle.clone(),
             prompt: self.request.prompt.clone(),
             prompt_tokens: self.prompt_tokens as u32,
             max_tokens: self.request.max_tokens,
-            skip: self.sent,
+            skip: self.tokens_sent,
             key: self.ticket.key.as_ref().map(|key| key.text.clone()),
         });
-        placed.run.send(order);
+        decode.run.send(order);
         self.stream().await
     }
 
     async fn stream(&mut self) -> flow::Event {
-        self.pending.clear();
+        self.partial_line.clear();
         loop {
-            let Some(placed) = &mut self.decode else {
-                return self.unreachable(None, self.ticket.key.is_some());
+            let Some(decode) = &mut self.decode else {
+                return self.server_unreachable(None, self.ticket.key.is_some());
             };
-            match self.writer.responder.wait(placed.run.next(), self.ticket.deadline).await {
+            match self.writer.responder.wait(decode.run.next(), self.ticket.deadline).await {
                 responder::WaitOutcome::Event(
                     channel::Event::Head(_) | channel::Event::Reserved,
                 ) => {}
                 responder::WaitOutcome::Event(channel::Event::Bytes(bytes)) => {
-                    if !self.take_bytes(&bytes).await {
+                    if !self.handle_bytes(&bytes).await {
                         return flow::Event::CallerGone;
                     }
                 }
                 responder::WaitOutcome::Event(channel::Event::End) => return flow::Event::Ended,
-                waited => {
-                    let server = placed.server.clone();
-                    return self.interrupted(server, waited);
+                result => {
+                    let server = decode.server.clone();
+                    return self.wait_failure_event(server, result);
                 }
             }
         }
     }
 
-    // The answer of a decode is one JSON line for each token.
-    async fn take_bytes(&mut self, bytes: &[u8]) -> bool {
-        self.pending.extend_from_slice(bytes);
-        while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.pending.drain(..=end).collect();
+    // A decode answers with one JSON line for each token. Returns false if a token cannot be sent
+    // to the caller.
+    async fn handle_bytes(&mut self, bytes: &[u8]) -> bool {
+        self.partial_line.extend_from_slice(bytes);
+        while let Some(end) = self.partial_line.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.partial_line.drain(..=end).collect();
             let Ok(token) = serde_json::from_slice::<Token>(&line) else { continue };
-            if !self.take_token(&token.token).await {
+            if !self.forward_token(&token.token).await {
                 return false;
             }
         }
         true
     }
 
-    async fn take_token(&mut self, token: &str) -> bool {
+    async fn forward_token(&mut self, token: &str) -> bool {
         let now = clock::now();
         self.flow.handle(&flow::Event::Streamed);
-        self.judge_source(pool::ServerOutcome::Success);
+        self.record_prefill_outcome(pool::ServerOutcome::Success);
         self.first_at.get_or_insert(now);
         self.last_at = Some(now);
-        self.sent += 1;
-        // The prefill is of use once a token came of it.
+        self.tokens_sent += 1;
+        // The prefill is not wasted once a token has been decoded from it.
         self.prefilled = None;
         self.writer.write_token(token, self.ticket.deadline).await
     }
 
-    // A result that was evicted or never came speaks against the server that prefilled it, one
-    // of which a token came speaks for it.
-    fn judge_source(&mut self, end: pool::ServerOutcome) {
-        let Some(server) = self.source.take() else { return };
-        selection::record_outcome(&self.ticket, &server, list::Role::Prefill, end);
+    // The prefill server is charged with a failure if its result was evicted or not delivered, and
+    // credited with a success at the first token decoded from it.
+    fn record_prefill_outcome(&mut self, outcome: pool::ServerOutcome) {
+        let Some(server) = self.prefill_server.take() else { return };
+        selection::record_outcome(&self.ticket, &server, list::Role::Prefill, outcome);
     }
 
-    // Dropping the run cancels it at the agent.
+    // Dropping the run cancels it at the agent. A prefill from which no token was decoded is wasted.
     fn release(&mut self, reason: Option<Reason>) {
         if reason == Some(Reason::Evicted) {
-            self.judge_source(pool::ServerOutcome::Failure(Reason::Evicted));
+            self.record_prefill_outcome(pool::ServerOutcome::Failure(Reason::Evicted));
         }
-        if let Some(placed) = self.decode.take() {
-            let end = match reason {
+        if let Some(decode) = self.decode.take() {
+            let outcome = match reason {
                 Some(reason) => pool::ServerOutcome::Failure(reason),
                 None if self.first_at.is_some() => pool::ServerOutcome::Success,
                 None => pool::ServerOutcome::Unknown,
             };
-            selection::record_end(&self.ticket, &placed.server, list::Role::Decode, end);
+            selection::record_end(&self.ticket, &decode.server, list::Role::Decode, outcome);
         }
         if let Some(prefilled) = self.prefilled.take() {
             let ticket = &self.ticket;
@@ -340,11 +345,12 @@
     }
 
     async fn finish(&mut self) {
-        let reason = if self.sent >= self.request.max_tokens { "length" } else { "stop" };
-        let usage = openai::Usage { prompt: self.prompt_tokens, output: u64::from(self.sent) };
-        let is_whole = self.writer.finish(reason, usage, self.ticket.deadline).await;
+        let reason = if self.tokens_sent >= self.request.max_tokens { "length" } else { "stop" };
+        let usage =
+            openai::Usage { prompt: self.prompt_tokens, output: u64::from(self.tokens_sent) };
+        let is_complete = self.writer.finish(reason, usage, self.ticket.deadline).await;
         self.release(None);
-        if is_whole {
+        if is_complete {
             self.count_answer();
             self.ticket.set_outcome(Outcome::Answered, None);
         }
@@ -352,15 +358,15 @@
 
     fn count_answer(&self) {
         let (Some(first), Some(last)) = (self.first_at, self.last_at) else { return };
-        let first_time = first - self.ticket.arrived;
-        let gaps = self.sent.saturating_sub(1).max(1);
+        let first_latency = first - self.ticket.arrived;
+        let gaps = self.tokens_sent.saturating_sub(1).max(1);
         let between = (last - first) / gaps;
         let is_good =
-            first_time <= self.targets.first_token && between <= self.targets.between_tokens;
-        let tokens = u64::from(self.sent);
+            first_latency <= self.targets.first_token && between <= self.targets.between_tokens;
+        let tokens = u64::from(self.tokens_sent);
         let mut ledger = self.ticket.entry.ledger();
         let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
-        totals.count_answer(first_time, between, tokens, is_good);
+        totals.count_answer(first_latency, between, tokens, is_good);
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
@@ -370,7 +376,7 @@
     }
 }
 
-fn reason_of(event: &flow::Event) -> Option<Reason> {
+fn failure_reason(event: &flow::Event) -> Option<Reason> {
     match event {
         flow::Event::Failed { refusal, .. } => Some(refusal.reason),
         flow::Event::CallerGone => Some(Reason::CallerGone),
--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -94,7 +94,7 @@
     let request = openai::parse_request(endpoint, content).map_err(bad)?;
     let ticket = admit::admit(entry, caller, &request.model, &head.headers);
     let mut ticket = ticket.map_err(plain_failure)?;
-    let Some(targets) = completion::Targets::of(&ticket.service) else {
+    let Some(targets) = completion::LatencyTargets::for_service(&ticket.service) else {
         let refusal = Refusal::permanent(Reason::BadRequest);
         ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{}` is a plain service", request.model);
