--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -140,7 +140,7 @@
         id: id.to_string(),
     };
     let (reply, answer) = responder::Responder::new();
-    tokio::spawn(plain::Plain::new(ticket, target, call, reply).drive());
+    tokio::spawn(plain::PlainRequest::new(ticket, target, call, reply).drive());
     Ok(answer.await.unwrap_or_else(|_| broken()))
 }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -1,4 +1,4 @@
-//! Drives one plain call.
+//! Drives one request to a plain service.
 
 use std::time;
 
@@ -15,10 +15,10 @@
 
 const MAX_RETRIES: u32 = 2;
 
-/// Headers that are for the entry itself.
-const OWN_HEADERS: [&str; 2] = ["host", "authorization"];
+/// Headers addressed to the entry, which are not forwarded.
+const ENTRY_HEADERS: [&str; 2] = ["host", "authorization"];
 
-/// A plain call that has been read.
+/// Contents of a request to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) method: Method,
@@ -28,34 +28,34 @@
     pub(crate) id: String,
 }
 
-/// One plain request on its way.
+/// A request to a plain service in progress.
 #[derive(Debug)]
-pub(crate) struct Plain {
+pub(crate) struct PlainRequest {
     ticket: admit::Ticket,
-    target: time::Duration,
+    latency_target: time::Duration,
     call: Call,
-    reply: responder::Responder,
+    responder: responder::Responder,
     flow: flow::Flow,
 }
 
-impl Plain {
+impl PlainRequest {
     pub(crate) fn new(
         ticket: admit::Ticket,
-        target: time::Duration,
+        latency_target: time::Duration,
         call: Call,
-        reply: responder::Responder,
-    ) -> Plain {
-        let flow = flow::Flow::new(flow::Path::Direct, rules(&ticket, &call.method));
-        Plain { ticket, target, call, reply, flow }
+        responder: responder::Responder,
+    ) -> PlainRequest {
+        let flow = flow::Flow::new(flow::Path::Direct, retry_policy(&ticket, &call.method));
+        PlainRequest { ticket, latency_target, call, responder, flow }
     }
 
-    /// Runs the call to its one outcome.
+    /// Drives the request to its final outcome.
     pub(crate) async fn drive(mut self) {
-        let take = async |request: &mut Plain, step| request.take_step(step).await;
-        flow::drive(&mut self, |request| &mut request.flow, take).await;
+        let execute = async |request: &mut PlainRequest, step| request.execute(step).await;
+        flow::drive(&mut self, |request| &mut request.flow, execute).await;
     }
 
-    async fn take_step(&mut self, step: flow::Step) -> Option<flow::Event> {
+    async fn execute(&mut self, step: flow::Step) -> Option<flow::Event> {
         match step {
             flow::Step::Send => return Some(self.attempt().await),
             flow::Step::Finish => {
@@ -63,7 +63,7 @@
                 self.ticket.set_outcome(Outcome::Answered, None);
             }
             flow::Step::Refuse(refusal) => self.refuse(refusal).await,
-            // A plain call holds nothing and has no stages.
+            // A plain request reserves no slot and has no stages.
             flow::Step::Release(_)
             | flow::Step::Reserve
             | flow::Step::Prefill
@@ -72,7 +72,8 @@
         None
     }
 
-    fn failed(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
+    // Event of a failed attempt; withdraws a retry from the budget if the request may be retried.
+    fn failure_event(&self, server: Option<ids::ServerName>, refusal: Refusal) -> flow::Event {
         let ticket = &self.ticket;
         let retry = self.flow.may_retry(server.as_ref(), &refusal, clock::now())
             && ticket.entry.try_retry(&ticket.service.name, &ticket.caller, refusal.reason);
@@ -87,28 +88,28 @@
             selection::choose(&self.ticket, list::Role::Plain, self.flow.tried(), None)
         else {
             self.ticket.entry.directory.want();
-            return self.failed(None, unreachable);
+            return self.failure_event(None, unreachable);
         };
         let event = self.attempt_at(&server, unreachable).await;
-        let end = match &event {
+        let outcome = match &event {
             flow::Event::Failed { refusal, .. } => pool::ServerOutcome::Failure(refusal.reason),
             flow::Event::Ended => pool::ServerOutcome::Success,
             _ => pool::ServerOutcome::Unknown,
         };
-        selection::record_end(&self.ticket, &server, list::Role::Plain, end);
+        selection::record_end(&self.ticket, &server, list::Role::Plain, outcome);
         event
     }
 
     async fn attempt_at(&mut self, server: &ids::ServerName, unreachable: Refusal) -> flow::Event {
         let Some(peer) = self.ticket.entry.backend.peer(server) else {
-            return self.failed(Some(server.clone()), unreachable);
+            return self.failure_event(Some(server.clone()), unreachable);
         };
         let Some(contact) = peer.contact().await else {
-            return self.failed(Some(server.clone()), unreachable);
+            return self.failure_event(Some(server.clone()), unreachable);
         };
-        let run = self.ticket.entry.backend.next_run();
+        let run_id = self.ticket.entry.backend.next_run();
         let order = message::ToAgent::Offer(offer::Offer {
-            run,
+            run: run_id,
             key: self.ticket.key.as_ref().map(|key| key.hash),
             start_by_ms: contact.clock_at(self.ticket.deadline),
             limit_ms: self.ticket.time_left().as_millis() as u64,
@@ -118,18 +119,20 @@
             headers: end_to_end(&self.call.headers),
             body: self.call.body.to_vec(),
         });
-        let mut run = peer.start(run, contact, order);
+        let mut run = peer.start(run_id, contact, order);
         loop {
-            match self.reply.wait(run.next(), self.ticket.deadline).await {
-                responder::WaitOutcome::Event(channel::Event::Head(head)) => self.begin(&head),
+            match self.responder.wait(run.next(), self.ticket.deadline).await {
+                responder::WaitOutcome::Event(channel::Event::Head(head)) => {
+                    self.start_response(&head)
+                }
                 responder::WaitOutcome::Event(channel::Event::Bytes(bytes)) => {
-                    if !self.reply.send(bytes.into(), self.ticket.deadline).await {
+                    if !self.responder.send(bytes.into(), self.ticket.deadline).await {
                         return flow::Event::CallerGone;
                     }
                 }
                 responder::WaitOutcome::Event(channel::Event::End) => return flow::Event::Ended,
                 responder::WaitOutcome::Event(channel::Event::Refused(refusal)) => {
-                    return self.failed(Some(server.clone()), refusal);
+                    return self.failure_event(Some(server.clone()), refusal);
                 }
                 responder::WaitOutcome::Event(_) => {}
                 responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
@@ -138,7 +141,7 @@
         }
     }
 
-    fn begin(&mut self, head: &message::Head) {
+    fn start_response(&mut self, head: &message::Head) {
         let mut response = Response::new(());
         *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::OK);
         for copied in &head.headers {
@@ -151,32 +154,32 @@
             }
         }
         request_id::insert(response.headers_mut(), &self.call.id);
-        self.reply.start_stream(response);
+        self.responder.start_stream(response);
         self.flow.handle(&flow::Event::Streamed);
     }
 
     fn count_answer(&self) {
-        let taken = clock::now() - self.ticket.arrived;
+        let latency = clock::now() - self.ticket.arrived;
         let mut ledger = self.ticket.entry.ledger();
         let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
-        totals.first.add(taken);
-        if taken <= self.target {
+        totals.first.add(latency);
+        if latency <= self.latency_target {
             totals.good += 1;
         }
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
         self.ticket.set_outcome(refusal.outcome, Some(refusal.reason));
-        if self.reply.has_started() {
-            return self.reply.abort(refusal.reason.name()).await;
+        if self.responder.has_started() {
+            return self.responder.abort(refusal.reason.name()).await;
         }
         let mut response = refuse::error_response(refusal, None);
         request_id::insert(response.headers_mut(), &self.call.id);
-        self.reply.respond(response);
+        self.responder.respond(response);
     }
 }
 
-/// Headers that go on to the backend server.
+/// Headers that are forwarded to the backend server.
 fn end_to_end(headers: &HeaderMap) -> Vec<offer::Header> {
     let kept = headers.iter().filter(|(name, _)| is_end_to_end(name.as_str(), headers));
     let copied = kept.map(|(name, value)| offer::Header {
@@ -187,13 +190,14 @@
 }
 
 fn is_end_to_end(name: &str, headers: &HeaderMap) -> bool {
-    !hop::is_hop_by_hop(name, headers) && !OWN_HEADERS.contains(&name)
+    !hop::is_hop_by_hop(name, headers) && !ENTRY_HEADERS.contains(&name)
 }
 
-// What may have run is repeated only if repeating it has no effect.
-fn rules(ticket: &admit::Ticket, method: &Method) -> flow::RetryPolicy {
-    let is_free = ticket.key.is_none() && method.is_idempotent();
-    let kind = if is_free { routing::Kind::Safe } else { routing::Kind::Unsafe };
+// A request that may have run is sent again only if its method is idempotent and it has no
+// idempotency key, because the key limits it to one run.
+fn retry_policy(ticket: &admit::Ticket, method: &Method) -> flow::RetryPolicy {
+    let is_safe = ticket.key.is_none() && method.is_idempotent();
+    let kind = if is_safe { routing::Kind::Safe } else { routing::Kind::Unsafe };
     let attempts = MAX_RETRIES + 1;
     flow::RetryPolicy {
         kind,
