--- a/crates/entry/src/ingress.rs
+++ b/crates/entry/src/ingress.rs
@@ -11,14 +11,14 @@
 
 use outcome::{Reason, Refusal};
 
-type Shared = sync::Arc<entry::Entry>;
-type Reply = Response<response::Body>;
+type SharedEntry = sync::Arc<entry::Entry>;
+type HttpResponse = Response<response::Body>;
 
-/// Longest time to read the body of a request.
-const BODY_TIME: std::time::Duration = std::time::Duration::from_secs(30);
+/// Time limit for reading the body of a request.
+const BODY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// Answers one request.
-pub(crate) async fn handle(entry: Shared, request: Request<body::Incoming>) -> Reply {
+/// Handles one HTTP request.
+pub(crate) async fn handle(entry: SharedEntry, request: Request<body::Incoming>) -> HttpResponse {
     let (head, content) = request.into_parts();
     match (&head.method, head.uri.path()) {
         (&Method::GET, "/healthz") => return response::text(StatusCode::OK, "ok\n"),
@@ -41,15 +41,16 @@
     response
 }
 
-type Failure = (Refusal, Option<String>);
+/// Refusal of a request, and a detail for the caller that precedes the advice.
+type Rejection = (Refusal, Option<String>);
 
 async fn serve(
-    entry: &Shared,
+    entry: &SharedEntry,
     head: &http::request::Parts,
     content: body::Incoming,
     id: &str,
-) -> Result<Reply, Failure> {
-    let caller = admit::authenticate(entry, &head.headers).map_err(plain_failure)?;
+) -> Result<HttpResponse, Rejection> {
+    let caller = admit::authenticate(entry, &head.headers).map_err(without_detail)?;
     let content = read_body(entry, content).await?;
     let endpoint = match head.uri.path() {
         "/v1/completions" => Some(openai::Endpoint::Text),
@@ -62,11 +63,14 @@
     }
 }
 
-async fn read_body(entry: &Shared, content: body::Incoming) -> Result<bytes::Bytes, Failure> {
+async fn read_body(
+    entry: &SharedEntry,
+    content: body::Incoming,
+) -> Result<bytes::Bytes, Rejection> {
     let limit = entry.settings.max_body;
     let reading = response::read_body(content, limit);
-    let Ok(content) = tokio::time::timeout(BODY_TIME, reading).await else {
-        let detail = format!("the body did not come within {BODY_TIME:?}");
+    let Ok(content) = tokio::time::timeout(BODY_TIMEOUT, reading).await else {
+        let detail = format!("the body did not come within {BODY_TIMEOUT:?}");
         return Err((Refusal::permanent(Reason::BadRequest), Some(detail)));
     };
     content.ok_or_else(|| {
@@ -75,25 +79,25 @@
     })
 }
 
-fn plain_failure(refusal: Refusal) -> Failure {
+fn without_detail(refusal: Refusal) -> Rejection {
     (refusal, None)
 }
 
 async fn serve_model(
-    entry: &Shared,
+    entry: &SharedEntry,
     caller: &list::Caller,
     endpoint: openai::Endpoint,
     head: &http::request::Parts,
     content: &[u8],
     id: &str,
-) -> Result<Reply, Failure> {
+) -> Result<HttpResponse, Rejection> {
     if head.method != Method::POST {
         return Err((Refusal::permanent(Reason::BadMethod), Some("use POST".to_string())));
     }
-    let bad = |detail| (Refusal::permanent(Reason::BadRequest), Some(detail));
-    let request = openai::parse_request(endpoint, content).map_err(bad)?;
+    let invalid = |detail| (Refusal::permanent(Reason::BadRequest), Some(detail));
+    let request = openai::parse_request(endpoint, content).map_err(invalid)?;
     let ticket = admit::admit(entry, caller, &request.model, &head.headers);
-    let mut ticket = ticket.map_err(plain_failure)?;
+    let mut ticket = ticket.map_err(without_detail)?;
     let Some(targets) = completion::LatencyTargets::for_service(&ticket.service) else {
         let refusal = Refusal::permanent(Reason::BadRequest);
         ticket.set_outcome(refusal.outcome, Some(refusal.reason));
@@ -101,31 +105,31 @@
         return Ok(refuse::error_response(refusal, Some(&detail)));
     };
     let encoder = openai::Encoder { endpoint, id: id.to_string(), model: request.model.clone() };
-    let (reply, answer) = responder::Responder::new();
-    let writer = response_writer::ResponseWriter::new(reply, encoder, request.stream);
+    let (responder, response) = responder::Responder::new();
+    let writer = response_writer::ResponseWriter::new(responder, encoder, request.stream);
     let completion = completion::Completion::new(ticket, targets, request, writer);
     tokio::spawn(completion.drive());
-    Ok(answer.await.unwrap_or_else(|_| broken()))
+    Ok(response.await.unwrap_or_else(|_| task_failed()))
 }
 
 async fn serve_plain(
-    entry: &Shared,
+    entry: &SharedEntry,
     caller: &list::Caller,
     head: &http::request::Parts,
     content: bytes::Bytes,
     id: &str,
-) -> Result<Reply, Failure> {
+) -> Result<HttpResponse, Rejection> {
     let path = head.uri.path().trim_start_matches('/');
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
     let rest = format!("/{rest}");
-    let mut ticket = admit::admit(entry, caller, service, &head.headers).map_err(plain_failure)?;
+    let mut ticket = admit::admit(entry, caller, service, &head.headers).map_err(without_detail)?;
     let list::Kind::Plain(kind) = &ticket.service.kind else {
         let refusal = Refusal::permanent(Reason::BadRequest);
         ticket.set_outcome(refusal.outcome, Some(refusal.reason));
         let detail = format!("`{service}` is a model; use /v1/completions");
         return Ok(refuse::error_response(refusal, Some(&detail)));
     };
-    let target = kind.target;
+    let latency_target = kind.target;
     if ticket.key.is_none() && ticket.service.needs_key(head.method.as_str(), &rest) {
         let refusal = Refusal::permanent(Reason::KeyMissing);
         ticket.set_outcome(refusal.outcome, Some(refusal.reason));
@@ -139,13 +143,13 @@
         body: content,
         id: id.to_string(),
     };
-    let (reply, answer) = responder::Responder::new();
-    tokio::spawn(plain::PlainRequest::new(ticket, target, call, reply).drive());
-    Ok(answer.await.unwrap_or_else(|_| broken()))
+    let (responder, response) = responder::Responder::new();
+    tokio::spawn(plain::PlainRequest::new(ticket, latency_target, call, responder).drive());
+    Ok(response.await.unwrap_or_else(|_| task_failed()))
 }
 
-// The driver ended without an answer, which only happens when it failed itself.
-fn broken() -> Reply {
+// The task of the request ended without a response, which only happens if it panicked.
+fn task_failed() -> HttpResponse {
     refuse::error_response(
         Refusal::unknown(Reason::EngineFailed, std::time::Duration::from_secs(1)),
         Some("the request's task ended early"),
@@ -160,7 +164,7 @@
         .map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_string)
 }
 
-fn ready(entry: &Shared) -> Reply {
+fn ready(entry: &SharedEntry) -> HttpResponse {
     let view = entry.directory.view();
     if entry.is_stopping() {
         response::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
@@ -171,7 +175,7 @@
     }
 }
 
-fn status(entry: &Shared) -> Reply {
+fn status(entry: &SharedEntry) -> HttpResponse {
     let view = entry.directory.view();
     let status = serde_json::json!({
         "entry": entry.settings.name,
@@ -185,7 +189,7 @@
     response::json(StatusCode::OK, &status)
 }
 
-fn drain(entry: &Shared, head: &http::request::Parts) -> Reply {
+fn drain(entry: &SharedEntry, head: &http::request::Parts) -> HttpResponse {
     if !shared_settings::is_operator(&entry.settings.keys, &head.headers) {
         return response::text(StatusCode::UNAUTHORIZED, "send the deployment's shared key\n");
     }
