--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -115,8 +115,8 @@
 
     /// Begins the shutdown.
     ///
-    /// The readiness check fails at once; new requests are rejected after the notice period, by
-    /// when the balancer sends no more.
+    /// The readiness check fails at once; new requests are rejected after the notice period,
+    /// which gives the balancer time to detect it.
     pub(crate) fn begin_shutdown(&self) {
         self.stopping_since.get_or_init(clock::now);
     }
