--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP entry of rhubarbloom: admission, limits, routing, retries and the one final answer.
+//! HTTP entry of rhubarbloom: admission, limits, routing, retries and exactly one final response for
+//! each request.
 //!
 //! ```
 //! use rhubarb_entry::settings;
@@ -25,12 +26,12 @@
 mod openai;
 mod peer;
 mod peers;
-mod placing;
 mod plain;
 mod refuse;
+mod request_id;
+mod response_writer;
 mod run;
-mod tag;
-mod teller;
+mod selection;
 mod view;
 
 pub use run::run;
