--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -21,15 +21,15 @@
     Input(String),
     /// Another list was applied meanwhile.
     Conflict(String),
-    /// The platform or an instance did not answer.
-    Away(String),
+    /// The platform or an instance is unavailable.
+    Unavailable(String),
 }
 
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CommandError::Input(what) | CommandError::Conflict(what) => f.write_str(what),
-            CommandError::Away(what) => f.write_str(what),
+            CommandError::Unavailable(what) => f.write_str(what),
         }
     }
 }
@@ -42,14 +42,14 @@
         match self {
             CommandError::Input(_) => 1,
             CommandError::Conflict(_) => 3,
-            CommandError::Away(_) => 4,
+            CommandError::Unavailable(_) => 4,
         }
     }
 }
 
 impl From<platform::PlatformError> for CommandError {
     fn from(err: platform::PlatformError) -> CommandError {
-        CommandError::Away(err.to_string())
+        CommandError::Unavailable(err.to_string())
     }
 }
 
@@ -89,7 +89,7 @@
     /// Applies `text` if the list in force has version `expected`, where 0 means none.
     ///
     /// # Errors
-    /// Returns an error for mistakes, for another version, and while the platform is away.
+    /// Returns an error for mistakes, for another version, and while the platform is unavailable.
     pub async fn apply(
         &self,
         file: &str,
@@ -113,7 +113,7 @@
             Ok(table::WriteOutcome::Conflict(row)) => {
                 Err(conflict(expected, row.map_or(0, |row| row.version)))
             }
-            Err(err) => Err(CommandError::Away(format!(
+            Err(err) => Err(CommandError::Unavailable(format!(
                 "{err}; whether change {change} took effect is unknown: \
                  run `rhubarb-ctl show` and compare its change before you apply again"
             ))),
@@ -123,7 +123,7 @@
     /// Shows the list in force.
     ///
     /// # Errors
-    /// Returns an error while the platform is away, and if no list was applied yet.
+    /// Returns an error while the platform is unavailable, and if no list was applied yet.
     pub async fn show(&self) -> Result<Output, CommandError> {
         let Some(row) = self.table.read(LIST_KEY).await? else {
             let what = "no list was applied yet; run `rhubarb-ctl apply FILE --expect 0`";
@@ -141,7 +141,7 @@
     /// Shows every instance with the list version in force there.
     ///
     /// # Errors
-    /// Returns an error while the platform is away.
+    /// Returns an error while the platform is unavailable.
     pub async fn status(&self) -> Result<Output, CommandError> {
         let current = self.current().await?.map_or(0, |edition| edition.version);
         let mut text = format!("list version {current}\n");
@@ -175,14 +175,15 @@
     /// # Errors
     /// Returns an error if it does not answer.
     pub async fn drain_at(&self, name: &str, url: &str) -> Result<Output, CommandError> {
-        let away = |err: client::CallError| CommandError::Away(format!("{name}: {err}"));
+        let unavailable =
+            |err: client::CallError| CommandError::Unavailable(format!("{name}: {err}"));
         let request = client::request(Method::POST, &format!("{url}/drain"), Default::default());
-        let mut request = request.map_err(away)?;
+        let mut request = request.map_err(unavailable)?;
         let bearer = format!("Bearer {}", self.settings.shared_key);
         let bearer = header::HeaderValue::from_str(&bearer)
             .map_err(|_| CommandError::Input("the shared key has odd characters".into()))?;
         request.headers_mut().insert(header::AUTHORIZATION, bearer);
-        let reply = self.client.fetch(request, LIMIT).await.map_err(away)?;
+        let reply = self.client.fetch(request, LIMIT).await.map_err(unavailable)?;
         if !reply.status.is_success() {
             let what = format!("{name} refused: {}; check `shared_keys`", reply.status);
             return Err(CommandError::Input(what));
--- a/crates/ctl/src/survey.rs
+++ b/crates/ctl/src/survey.rs
@@ -48,7 +48,7 @@
 
 impl From<store::StoreError> for CommandError {
     fn from(err: store::StoreError) -> CommandError {
-        CommandError::Away(format!("the store: {err}"))
+        CommandError::Unavailable(format!("the store: {err}"))
     }
 }
 
