--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -11,4 +11,4 @@
 pub mod checks;
 pub mod commands;
 pub mod settings;
-pub mod survey;
+pub mod store_commands;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::Parser;
 
 use rhubarb_core::ids;
-use rhubarb_ctl::{checks, commands, settings, survey};
+use rhubarb_ctl::{checks, commands, settings, store_commands};
 
 use commands::{CommandError, Output};
 
@@ -157,9 +157,13 @@
             connect(&settings)?.apply(&file, &text, expect).await
         }
         Command::Show { source: Source::Settings(path) } => connect(&path)?.show().await,
-        Command::Show { source: Source::Store(at) } => survey::Survey::new(at).show().await,
+        Command::Show { source: Source::Store(at) } => {
+            store_commands::StoreCommands::new(at).show().await
+        }
         Command::Status { source: Source::Settings(path) } => connect(&path)?.status().await,
-        Command::Status { source: Source::Store(at) } => survey::Survey::new(at).status().await,
+        Command::Status { source: Source::Store(at) } => {
+            store_commands::StoreCommands::new(at).status().await
+        }
         Command::Drain { settings, at: Some(url), name } => {
             connect(&settings)?.drain_at(&name, url.trim_end_matches('/')).await
         }
--- a/crates/ctl/src/survey.rs
+++ b/crates/ctl/src/store_commands.rs
@@ -19,7 +19,7 @@
 
 /// Reads what stands in the platform's store.
 #[derive(Debug)]
-pub struct Survey {
+pub struct StoreCommands {
     client: client::Client,
     store: store::Store,
 }
@@ -52,11 +52,11 @@
     }
 }
 
-impl Survey {
+impl StoreCommands {
     /// Makes the commands for the store at `address`.
-    pub fn new(address: net::SocketAddr) -> Survey {
+    pub fn new(address: net::SocketAddr) -> StoreCommands {
         let client = client::Client::new();
-        Survey { store: store::Store::new(client.clone(), address), client }
+        StoreCommands { store: store::Store::new(client.clone(), address), client }
     }
 
     /// Shows the config in the store, as the operator wrote it.
