--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that need the platform.
+//! Operator commands on the platform: apply, show, status and drain.
 
 use std::{fmt, time};
 
@@ -12,14 +12,16 @@
 
 use crate::settings;
 
-const LIMIT: time::Duration = time::Duration::from_secs(2);
+/// Timeout of one call to an instance.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Why a command failed; each kind has its exit code.
+/// Failure of a command; each variant has its own exit code.
 #[derive(Debug)]
 pub enum CommandError {
     /// The input has mistakes.
     Input(String),
-    /// Another list was applied meanwhile.
+    /// The state on the platform is not the one that the command expects, for example because
+    /// another list was applied.
     Conflict(String),
     /// The platform or an instance is unavailable.
     Unavailable(String),
@@ -28,8 +30,8 @@
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::Input(what) | CommandError::Conflict(what) => f.write_str(what),
-            CommandError::Unavailable(what) => f.write_str(what),
+            CommandError::Input(message) | CommandError::Conflict(message) => f.write_str(message),
+            CommandError::Unavailable(message) => f.write_str(message),
         }
     }
 }
@@ -56,13 +58,13 @@
 /// Output of a command.
 #[derive(Clone, Debug)]
 pub struct Output {
-    /// For people.
+    /// Human-readable text.
     pub text: String,
-    /// For programs.
+    /// The same as JSON.
     pub json: serde_json::Value,
 }
 
-/// Connects commands to the platform.
+/// Runs the commands against the platform that the settings name.
 #[derive(Debug)]
 pub struct Commands {
     settings: settings::Settings,
@@ -71,25 +73,27 @@
 }
 
 impl Commands {
-    /// Makes the commands.
+    /// Makes the commands for the platform in `settings`.
     pub fn new(settings: settings::Settings) -> Commands {
         let client = client::Client::new();
         let table = table::Table::new(client.clone(), &settings.platform.table);
         Commands { settings, client, table }
     }
 
+    // The list in force, if any was applied.
     async fn current(&self) -> Result<Option<revision::Revision>, CommandError> {
         let Some(row) = self.table.read(LIST_KEY).await? else { return Ok(None) };
         revision::read_row(row.version, &row.value).map(Some).ok_or_else(|| {
-            let what = "the list in force was written by another release; upgrade rhubarb-ctl";
-            CommandError::Conflict(what.to_string())
+            let message = "the list in force was written by another release; upgrade rhubarb-ctl";
+            CommandError::Conflict(message.to_string())
         })
     }
 
     /// Applies `text` if the list in force has version `expected`, where 0 means none.
     ///
     /// # Errors
-    /// Returns an error for mistakes, for another version, and while the platform is unavailable.
+    /// Returns an error if `text` has mistakes, if another version is in force, and while the
+    /// platform is unavailable.
     pub async fn apply(
         &self,
         file: &str,
@@ -98,14 +102,14 @@
     ) -> Result<Output, CommandError> {
         crate::checks::check_text(file, text).map_err(CommandError::Input)?;
         let current = self.current().await?;
-        let version = current.as_ref().map_or(0, |edition| edition.version);
+        let version = current.as_ref().map_or(0, |revision| revision.version);
         if version != expected {
             return Err(conflict(expected, version));
         }
         let content = revision::next_content(current.as_ref(), text, clock::unix_ms());
         let content = content.map_err(|_| CommandError::Input("the list has mistakes".into()))?;
         let change = format!("{:032x}", rand::random::<u128>());
-        match self.table.commit(&writes(current.as_ref(), &content, expected, &change)).await {
+        match self.table.commit(&list_writes(current.as_ref(), &content, expected, &change)).await {
             Ok(table::WriteOutcome::Committed(version)) => Ok(Output {
                 text: format!("version {version} is accepted"),
                 json: json!({ "version": version, "change": change }),
@@ -113,6 +117,7 @@
             Ok(table::WriteOutcome::Conflict(row)) => {
                 Err(conflict(expected, row.map_or(0, |row| row.version)))
             }
+            // The transaction may have been committed although its response was lost.
             Err(err) => Err(CommandError::Unavailable(format!(
                 "{err}; whether change {change} took effect is unknown: \
                  run `rhubarb-ctl show` and compare its change before you apply again"
@@ -126,8 +131,8 @@
     /// Returns an error while the platform is unavailable, and if no list was applied yet.
     pub async fn show(&self) -> Result<Output, CommandError> {
         let Some(row) = self.table.read(LIST_KEY).await? else {
-            let what = "no list was applied yet; run `rhubarb-ctl apply FILE --expect 0`";
-            return Err(CommandError::Conflict(what.to_string()));
+            let message = "no list was applied yet; run `rhubarb-ctl apply FILE --expect 0`";
+            return Err(CommandError::Conflict(message.to_string()));
         };
         let content: revision::Content = serde_json::from_str(&row.value)
             .map_err(|err| CommandError::Conflict(format!("{err}; upgrade rhubarb-ctl")))?;
@@ -138,17 +143,17 @@
         })
     }
 
-    /// Shows every instance with the list version in force there.
+    /// Shows all instances and the list version in force at each.
     ///
     /// # Errors
     /// Returns an error while the platform is unavailable.
     pub async fn status(&self) -> Result<Output, CommandError> {
-        let current = self.current().await?.map_or(0, |edition| edition.version);
+        let current = self.current().await?.map_or(0, |revision| revision.version);
         let mut text = format!("list version {current}\n");
         let mut rows = Vec::new();
         for instance in self.instances().await? {
             let url = format!("http://{}/status", instance.http);
-            let reply = self.client.get(&url, LIMIT).await.ok();
+            let reply = self.client.get(&url, REQUEST_TIMEOUT).await.ok();
             let status: Option<serde_json::Value> =
                 reply.and_then(|reply| serde_json::from_slice(&reply.body).ok());
             text.push_str(&status_line(&instance, status.as_ref()));
@@ -157,20 +162,21 @@
         Ok(Output { text, json: json!({ "version": current, "instances": rows }) })
     }
 
-    /// Asks an instance to take no new work.
+    /// Asks an instance to accept no new requests.
     ///
     /// # Errors
     /// Returns an error for an unknown instance, and if it does not answer.
     pub async fn drain(&self, name: &str) -> Result<Output, CommandError> {
-        let seen = self.instances().await?;
-        let Some(instance) = seen.into_iter().find(|instance| instance.name == name) else {
-            let what = format!("no instance `{name}`; run `rhubarb-ctl status` for their names");
-            return Err(CommandError::Input(what));
+        let instances = self.instances().await?;
+        let Some(instance) = instances.into_iter().find(|instance| instance.name == name) else {
+            let message = format!("no instance `{name}`; run `rhubarb-ctl status` for their names");
+            return Err(CommandError::Input(message));
         };
         self.drain_at(name, &format!("http://{}", instance.http)).await
     }
 
-    /// Asks the instance whose HTTP address is known to take no new work.
+    /// Asks the instance `name` at `url` to accept no new requests, without the platform's list of
+    /// instances.
     ///
     /// # Errors
     /// Returns an error if it does not answer.
@@ -180,13 +186,17 @@
         let request = client::request(Method::POST, &format!("{url}/drain"), Default::default());
         let mut request = request.map_err(unavailable)?;
         let bearer = format!("Bearer {}", self.settings.shared_key);
-        let bearer = header::HeaderValue::from_str(&bearer)
-            .map_err(|_| CommandError::Input("the shared key has odd characters".into()))?;
+        let bearer = header::HeaderValue::from_str(&bearer).map_err(|_| {
+            CommandError::Input(
+                "the shared key cannot be sent in a header; give printable ASCII in `shared_keys`"
+                    .into(),
+            )
+        })?;
         request.headers_mut().insert(header::AUTHORIZATION, bearer);
-        let reply = self.client.fetch(request, LIMIT).await.map_err(unavailable)?;
+        let reply = self.client.fetch(request, REQUEST_TIMEOUT).await.map_err(unavailable)?;
         if !reply.status.is_success() {
-            let what = format!("{name} refused: {}; check `shared_keys`", reply.status);
-            return Err(CommandError::Input(what));
+            let message = format!("{name} refused to drain: {}; check `shared_keys`", reply.status);
+            return Err(CommandError::Input(message));
         }
         Ok(Output { text: format!("{name} is draining"), json: json!({ "draining": name }) })
     }
@@ -197,9 +207,10 @@
     }
 }
 
-// The list, its head and what changed, in one transaction. The change is left empty where sections
-// moved, and the whole list is read then.
-fn writes(
+// Writes of the transaction that puts a list in force: the list, its head, and the change from the
+// previous list. The change is empty for the first list and if sections were reordered; readers then
+// read the whole list.
+fn list_writes(
     current: Option<&revision::Revision>,
     content: &revision::Content,
     expected: u64,
