--- a/crates/ctl/src/store_commands.rs
+++ b/crates/ctl/src/store_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that read the users' platform's store.
+//! Operator commands that read the store of the users' platform.
 
 use std::{collections, net, time};
 
@@ -12,19 +12,19 @@
 
 use commands::{CommandError, Output};
 
-/// Time for one call to the store or to an instance.
-const LIMIT: time::Duration = time::Duration::from_secs(2);
-/// Metric of an entry that tells the version of the config in force there.
+/// Timeout of one call to the store or to an instance.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+/// Metric of an entry that holds the version of the config in force there.
 const VERSION_METRIC: &str = "rhubarb_edge_config_version ";
 
-/// Reads what stands in the platform's store.
+/// Runs the commands against the store of the platform.
 #[derive(Debug)]
 pub struct StoreCommands {
     client: client::Client,
     store: store::Store,
 }
 
-/// An instance of ours, and the version of the config in force there if it answers.
+/// An entry instance, and the version of the config in force there if it answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Member {
     name: String,
@@ -34,14 +34,15 @@
 
 /// Servers of one service, stage and availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Group {
+struct ServerGroup {
     service: ids::ServiceName,
     stage: &'static str,
     zone: ids::ZoneName,
 }
 
+/// Numbers of servers of a group.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct ServerCounts {
     ready: usize,
     leaving: usize,
 }
@@ -62,7 +63,7 @@
     /// Shows the config in the store, as the operator wrote it.
     ///
     /// # Errors
-    /// Returns an error if there is none, and while the store is away.
+    /// Returns an error if there is none, and while the store is unavailable.
     pub async fn show(&self) -> Result<Output, CommandError> {
         let text = self.config_text().await?;
         let json = serde_json::from_slice(&text)
@@ -70,29 +71,30 @@
         Ok(Output { text: format!("{json:#}"), json })
     }
 
-    /// Shows the config's version, the servers, the leases, and what is in force at each instance.
+    /// Shows the version of the config, the servers, the leases, and the config version in force at
+    /// each instance.
     ///
     /// # Errors
-    /// Returns an error if there is no valid config, and while the store is away.
+    /// Returns an error if there is no valid config, and while the store is unavailable.
     pub async fn status(&self) -> Result<Output, CommandError> {
         let config = config::read(&self.config_text().await?)
             .map_err(|err| CommandError::Input(err.to_string()))?;
         let (groups, unreadable) = self.servers().await?;
         let leases = self.rows(store::Table::Leases).await?;
         let members = self.members().await?;
-        let text = write(&config, &groups, &unreadable, &leases, &members);
+        let text = status_text(&config, &groups, &unreadable, &leases, &members);
         let json = json!({
             "config": config.version,
             "routes": config.routes.len(),
-            "servers": groups.iter().map(|(group, count)| json!({
+            "servers": groups.iter().map(|(group, counts)| json!({
                 "service": group.service,
                 "stage": group.stage,
                 "zone": group.zone,
-                "ready": count.ready,
-                "leaving": count.leaving,
+                "ready": counts.ready,
+                "leaving": counts.leaving,
             })).collect::<Vec<_>>(),
             "unreadable": unreadable,
-            "leases": leases.iter().map(|(key, value)| json!({"duty": key, "holder": value}))
+            "leases": leases.iter().map(|(task, holder)| json!({"duty": task, "holder": holder}))
                 .collect::<Vec<_>>(),
             "instances": members.iter().map(|member| json!({
                 "name": member.name,
@@ -104,29 +106,32 @@
     }
 
     async fn config_text(&self) -> Result<Vec<u8>, CommandError> {
-        let rows = self.store.read_all(store::Table::Operator, LIMIT).await?;
+        let rows = self.store.read_all(store::Table::Operator, REQUEST_TIMEOUT).await?;
         let row = rows.rows.into_iter().find(|row| row.key == store::CONFIG_KEY);
         row.and_then(|row| row.value).ok_or_else(|| {
             CommandError::Input("no config in the store; the operator has to write one".into())
         })
     }
 
-    // Rows of a table of ours, as text.
+    // Keys and values of a table that entries write, as text.
     async fn rows(&self, table: store::Table) -> Result<Vec<(String, String)>, CommandError> {
-        let rows = self.store.read_all(table, LIMIT).await?.rows.into_iter();
+        let rows = self.store.read_all(table, REQUEST_TIMEOUT).await?.rows.into_iter();
         let text = |value: Vec<u8>| String::from_utf8_lossy(&value).into_owned();
         Ok(rows.map(|row| (row.key, row.value.map(text).unwrap_or_default())).collect())
     }
 
     async fn servers(
         &self,
-    ) -> Result<(collections::BTreeMap<Group, Count>, Vec<ids::ServerName>), CommandError> {
-        let rows = self.store.read_all(store::Table::Servers, LIMIT).await?;
+    ) -> Result<
+        (collections::BTreeMap<ServerGroup, ServerCounts>, Vec<ids::ServerName>),
+        CommandError,
+    > {
+        let rows = self.store.read_all(store::Table::Servers, REQUEST_TIMEOUT).await?;
         let mut groups = collections::BTreeMap::new();
         let mut unreadable = Vec::new();
         for row in rows.rows {
             match entries::read(&row.value.unwrap_or_default()) {
-                Ok(instance) => note(&mut groups, instance),
+                Ok(instance) => count_server(&mut groups, instance),
                 Err(_) => unreadable.push(row.key),
             }
         }
@@ -142,47 +147,51 @@
         Ok(members)
     }
 
+    // Config version that the instance at `ip` exports in its metrics.
     async fn version_at(&self, ip: &str) -> Option<ids::ListVersion> {
         let url = format!("http://{ip}:{}/metrics", metrics::PLATFORM_PORT);
-        let reply = self.client.get(&url, LIMIT).await.ok()?;
+        let reply = self.client.get(&url, REQUEST_TIMEOUT).await.ok()?;
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         text.lines().find_map(|line| line.strip_prefix(VERSION_METRIC))?.trim().parse().ok()
     }
 }
 
-fn note(groups: &mut collections::BTreeMap<Group, Count>, instance: fleet::Instance) {
+fn count_server(
+    groups: &mut collections::BTreeMap<ServerGroup, ServerCounts>,
+    instance: fleet::Instance,
+) {
     let stage = match instance.stage {
         Some(fleet::Stage::Prefill) => "prefill",
         Some(fleet::Stage::Decode) => "decode",
         None => "plain",
     };
-    let group = Group { service: instance.service, stage, zone: instance.zone };
-    let count: &mut Count = groups.entry(group).or_default();
+    let group = ServerGroup { service: instance.service, stage, zone: instance.zone };
+    let counts: &mut ServerCounts = groups.entry(group).or_default();
     if instance.leaving {
-        count.leaving += 1;
+        counts.leaving += 1;
     } else {
-        count.ready += 1;
+        counts.ready += 1;
     }
 }
 
-fn write(
+fn status_text(
     config: &routing::Config,
-    groups: &collections::BTreeMap<Group, Count>,
+    groups: &collections::BTreeMap<ServerGroup, ServerCounts>,
     unreadable: &[ids::ServerName],
     leases: &[(String, String)],
     members: &[Member],
 ) -> String {
     let mut text = format!("config version {}, {} routes\n", config.version, config.routes.len());
-    for (group, count) in groups {
-        let Group { service, stage, zone } = group;
-        let Count { ready, leaving } = count;
+    for (group, counts) in groups {
+        let ServerGroup { service, stage, zone } = group;
+        let ServerCounts { ready, leaving } = counts;
         text.push_str(&format!("{service} {stage} in {zone}: {ready} ready, {leaving} leaving\n"));
     }
     for server in unreadable {
         text.push_str(&format!("{server}: entry cannot be read, server not used\n"));
     }
-    for (duty, holder) in leases {
-        text.push_str(&format!("lease {duty}: {holder}\n"));
+    for (task, holder) in leases {
+        text.push_str(&format!("lease {task}: {holder}\n"));
     }
     for Member { name, address, version } in members {
         let state = match version {
