--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Operator command.
+//! The `rhubarb-ctl` command line.
 
 use std::{fs, net, process};
 
@@ -15,16 +15,16 @@
     Apply { settings: String, expect: u64, file: String },
     Show { source: Source },
     Status { source: Source },
-    Drain { settings: String, at: Option<String>, name: String },
+    Drain { settings: String, url: Option<String>, name: String },
     Digest { key: String },
 }
 
-// Where a deployment keeps what is in force.
+// Where the service list or config in force is stored.
 #[derive(Clone, Debug)]
 enum Source {
-    // The platform that a settings file names.
+    // On the platform that a settings file names.
     Settings(String),
-    // The users' platform's store.
+    // In the store of the users' platform, at this address.
     Store(net::SocketAddr),
 }
 
@@ -51,11 +51,12 @@
     bpaf::positional::<String>("LIST").help("Service list")
 }
 
-fn form() -> impl Parser<bool> {
+// Whether the output is JSON.
+fn json_format() -> impl Parser<bool> {
     bpaf::long("format")
         .help("Form of the output: text or json")
         .argument::<String>("FORM")
-        .parse(|form| match form.as_str() {
+        .parse(|format| match format.as_str() {
             "text" => Ok(false),
             "json" => Ok(true),
             _ => Err("give text or json"),
@@ -68,7 +69,7 @@
     description: &'static str,
     command: impl Parser<Command> + 'static,
 ) -> impl Parser<Options> {
-    let json = form();
+    let json = json_format();
     bpaf::construct!(Options { json, command }).to_options().descr(description).command(name)
 }
 
@@ -98,12 +99,12 @@
 
 fn drain() -> impl Parser<Command> {
     let settings = settings_option();
-    let at = bpaf::long("at")
+    let url = bpaf::long("at")
         .help("URL of the instance, for when the platform is away")
         .argument::<String>("URL")
         .optional();
     let name = bpaf::positional::<String>("INSTANCE").help("Name of the instance");
-    bpaf::construct!(Command::Drain { settings, at, name })
+    bpaf::construct!(Command::Drain { settings, url, name })
 }
 
 fn digest() -> impl Parser<Command> {
@@ -142,7 +143,8 @@
 async fn run(command: Command) -> Result<Output, CommandError> {
     match command {
         Command::Check { file } => {
-            let list = checks::check_text(&file, &read(&file)?).map_err(CommandError::Input)?;
+            let list =
+                checks::check_text(&file, &read_file(&file)?).map_err(CommandError::Input)?;
             let (services, callers) = (list.services.len(), list.callers.len());
             let text = format!("{file}: no mistakes; {services} services, {callers} callers");
             let json = serde_json::json!({ "services": services, "callers": callers });
@@ -153,30 +155,35 @@
             Ok(Output { json: serde_json::json!({ "digest": digest }), text: digest })
         }
         Command::Apply { settings, expect, file } => {
-            let text = read(&file)?;
-            connect(&settings)?.apply(&file, &text, expect).await
+            let text = read_file(&file)?;
+            platform_commands(&settings)?.apply(&file, &text, expect).await
         }
-        Command::Show { source: Source::Settings(path) } => connect(&path)?.show().await,
-        Command::Show { source: Source::Store(at) } => {
-            store_commands::StoreCommands::new(at).show().await
+        Command::Show { source: Source::Settings(path) } => platform_commands(&path)?.show().await,
+        Command::Show { source: Source::Store(address) } => {
+            store_commands::StoreCommands::new(address).show().await
         }
-        Command::Status { source: Source::Settings(path) } => connect(&path)?.status().await,
-        Command::Status { source: Source::Store(at) } => {
-            store_commands::StoreCommands::new(at).status().await
+        Command::Status { source: Source::Settings(path) } => {
+            platform_commands(&path)?.status().await
         }
-        Command::Drain { settings, at: Some(url), name } => {
-            connect(&settings)?.drain_at(&name, url.trim_end_matches('/')).await
+        Command::Status { source: Source::Store(address) } => {
+            store_commands::StoreCommands::new(address).status().await
+        }
+        Command::Drain { settings, url: Some(url), name } => {
+            platform_commands(&settings)?.drain_at(&name, url.trim_end_matches('/')).await
+        }
+        Command::Drain { settings, url: None, name } => {
+            platform_commands(&settings)?.drain(&name).await
         }
-        Command::Drain { settings, at: None, name } => connect(&settings)?.drain(&name).await,
     }
 }
 
-fn connect(path: &str) -> Result<commands::Commands, CommandError> {
+// Commands for the platform in the settings file at `path`.
+fn platform_commands(path: &str) -> Result<commands::Commands, CommandError> {
     let settings = settings::load(path).map_err(|err| CommandError::Input(err.to_string()))?;
     Ok(commands::Commands::new(settings))
 }
 
-fn read(file: &str) -> Result<String, CommandError> {
+fn read_file(file: &str) -> Result<String, CommandError> {
     fs::read_to_string(file).map_err(|err| {
         CommandError::Input(format!("{file} cannot be read: {err}; give the path of a list"))
     })
