--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -5,9 +5,9 @@
 /// Settings of the operator command.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Shared key with which instances are asked to drain.
+    /// Shared key that authorizes drain requests.
     pub shared_key: String,
-    /// Platform.
+    /// Base URLs of the platform.
     pub platform: shared_settings::PlatformUrls,
 }
 
