--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -1,8 +1,8 @@
-//! Each mistake in a list is named with its line and a remedy.
+//! Each mistake in a list is reported with its line and a remedy.
 
 use rhubarb_ctl::checks;
 
-const GOOD: &str = "\
+const VALID_LIST: &str = "\
 [service board]
 kind = plain
 servers = board-1, board-2
@@ -21,8 +21,8 @@
 ";
 
 #[test]
-fn good_list() {
-    let list = checks::check_text("list.ini", GOOD).unwrap();
+fn valid_list() {
+    let list = checks::check_text("list.ini", VALID_LIST).unwrap();
     let order: Vec<_> =
         list.dependency_order().iter().map(|service| service.name.clone()).collect();
     assert_eq!(order, ["board", "fibre"]);
@@ -56,12 +56,12 @@
         ("[service board]\n", "x = 1\n[service board]\n", "line 1: fields before the first"),
         ("kind = plain", "kind", "line 2: `kind` is neither a section nor a field"),
     ];
-    for (from, to, wanted) in cases {
-        assert!(GOOD.contains(from), "{from}");
-        let text = GOOD.replacen(from, to, 1);
-        let found = checks::check_text("list.ini", &text).expect_err(wanted);
-        assert!(found.contains(wanted), "wanted: {wanted}\nfound: {found}");
-        for line in found.lines() {
+    for (from, to, expected) in cases {
+        assert!(VALID_LIST.contains(from), "{from}");
+        let text = VALID_LIST.replacen(from, to, 1);
+        let mistakes = checks::check_text("list.ini", &text).expect_err(expected);
+        assert!(mistakes.contains(expected), "expected: {expected}\nfound: {mistakes}");
+        for line in mistakes.lines() {
             assert!(line.starts_with("list.ini: line "), "{line}");
             assert!(line.contains("; "), "no remedy: {line}");
         }
@@ -69,23 +69,23 @@
 }
 
 #[test]
-fn cycles_found() {
-    let text = GOOD.replacen("kind = plain", "kind = plain\ndepends = fibre", 1);
-    let found = checks::check_text("list.ini", &text).unwrap_err();
-    assert!(found.contains("line 1: `board` depends on itself through its dependencies"));
-    assert!(found.contains("`fibre` depends on itself"));
+fn dependency_cycle() {
+    let text = VALID_LIST.replacen("kind = plain", "kind = plain\ndepends = fibre", 1);
+    let mistakes = checks::check_text("list.ini", &text).unwrap_err();
+    assert!(mistakes.contains("line 1: `board` depends on itself through its dependencies"));
+    assert!(mistakes.contains("`fibre` depends on itself"));
 }
 
 #[test]
-fn only_the_cause() {
-    let text = GOOD.replacen("kind = plain", "kind = plan", 1);
-    let found = checks::check_text("list.ini", &text).unwrap_err();
-    assert_eq!(found.lines().count(), 1, "{found}");
+fn no_followup_mistakes() {
+    let text = VALID_LIST.replacen("kind = plain", "kind = plan", 1);
+    let mistakes = checks::check_text("list.ini", &text).unwrap_err();
+    assert_eq!(mistakes.lines().count(), 1, "{mistakes}");
 }
 
 #[test]
-fn all_at_once() {
-    let text = GOOD.replacen("kind = plain", "kind = plan", 1).replacen("p-1", "p 1", 1);
-    let found = checks::check_text("list.ini", &text).unwrap_err();
-    assert!(found.lines().count() >= 2, "{found}");
+fn all_mistakes_reported() {
+    let text = VALID_LIST.replacen("kind = plain", "kind = plan", 1).replacen("p-1", "p 1", 1);
+    let mistakes = checks::check_text("list.ini", &text).unwrap_err();
+    assert!(mistakes.lines().count() >= 2, "{mistakes}");
 }
