--- a/crates/report/src/dates.rs
+++ b/crates/report/src/dates.rs
@@ -3,7 +3,7 @@
 const DAY_MS: i64 = 86_400_000;
 
 /// Reads `YYYY-MM-DD`, midnight UTC, or milliseconds since 1970.
-pub fn scan_date(text: &str) -> Option<u64> {
+pub fn parse_date(text: &str) -> Option<u64> {
     if let Ok(millis) = text.parse() {
         return Some(millis);
     }
@@ -28,7 +28,7 @@
 }
 
 /// Writes a time as `YYYY-MM-DDTHH:MM:SSZ`.
-pub fn write_time(millis: u64) -> String {
+pub fn format_time(millis: u64) -> String {
     let millis = millis as i64;
     let days = millis.div_euclid(DAY_MS) + 719_468;
     let era = days.div_euclid(146_097);
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -39,7 +39,7 @@
     bpaf::long(name)
         .help(help)
         .argument::<String>("DATE")
-        .parse(|text| dates::scan_date(&text).ok_or("give YYYY-MM-DD or milliseconds since 1970"))
+        .parse(|text| dates::parse_date(&text).ok_or("give YYYY-MM-DD or milliseconds since 1970"))
 }
 
 fn options() -> bpaf::OptionParser<Options> {
--- a/crates/report/src/render.rs
+++ b/crates/report/src/render.rs
@@ -54,7 +54,7 @@
 pub fn text(report: &merge::Report, now_ms: u64) -> String {
     let mut lines: Vec<[String; 14]> = vec![COLUMNS.map(str::to_string)];
     lines.extend(report.rows().map(|(service, caller, totals)| cells(service, caller, totals)));
-    let (from, to) = (dates::write_time(report.from_ms), dates::write_time(report.to_ms));
+    let (from, to) = (dates::format_time(report.from_ms), dates::format_time(report.to_ms));
     let mut text = format!("usage from {from} to {to}, {} records\n", report.record_count());
     for line in &lines {
         for (column, cell) in line.iter().enumerate() {
@@ -88,8 +88,8 @@
 }
 
 fn gap_line(gap: &merge::Gap) -> String {
-    let end = gap.to_ms.map_or("an unknown time".to_string(), dates::write_time);
-    let from = dates::write_time(gap.from_ms);
+    let end = gap.to_ms.map_or("an unknown time".to_string(), dates::format_time);
+    let from = dates::format_time(gap.from_ms);
     let process = &gap.process;
     format!("gap {} {:016x} from {from} to {end}\n", process.entry, process.incarnation)
 }
--- a/crates/report/tests/merging.rs
+++ b/crates/report/tests/merging.rs
@@ -109,10 +109,10 @@
 
 #[test]
 fn dates_read() {
-    assert_eq!(dates::scan_date("1970-01-02"), Some(86_400_000));
-    assert_eq!(dates::scan_date("2026-12-03"), Some(1_796_256_000_000));
-    assert_eq!(dates::write_time(1_796_256_000_000), "2026-12-03T00:00:00Z");
+    assert_eq!(dates::parse_date("1970-01-02"), Some(86_400_000));
+    assert_eq!(dates::parse_date("2026-12-03"), Some(1_796_256_000_000));
+    assert_eq!(dates::format_time(1_796_256_000_000), "2026-12-03T00:00:00Z");
     for wrong in ["", "yesterday", "2026-13-01", "2026-00-10", "1969-01-01"] {
-        assert_eq!(dates::scan_date(wrong), None, "{wrong}");
+        assert_eq!(dates::parse_date(wrong), None, "{wrong}");
     }
 }
