--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,4 +1,4 @@
-//! Merges usage records into the report of who got what.
+//! Merges usage records into a report of what each caller got from each service.
 //!
 //! ```
 //! use rhubarb_core::usage;
