--- a/crates/report/src/merge.rs
+++ b/crates/report/src/merge.rs
@@ -1,4 +1,4 @@
-//! Adds usage records up; each counts once, and missing ones are named.
+//! Merges usage records into totals. Each record counts once, and missing records are reported.
 
 use std::collections;
 
@@ -12,15 +12,16 @@
     /// End in milliseconds since 1970.
     pub to_ms: u64,
     rows: collections::BTreeMap<(ids::ServiceName, ids::CallerName), usage::Totals>,
-    seen: collections::BTreeMap<Process, collections::BTreeMap<u64, Span>>,
+    // Times covered by the records of each process, by sequence number.
+    spans: collections::BTreeMap<Process, collections::BTreeMap<u64, Span>>,
 }
 
-/// One entry process.
+/// Process of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Process {
-    /// Name of the entry instance.
+    /// Instance name of the entry.
     pub entry: String,
-    /// Incarnation of its process.
+    /// Incarnation of the process.
     pub incarnation: ids::Incarnation,
 }
 
@@ -32,7 +33,7 @@
     last: bool,
 }
 
-/// Time for which an entry's records are missing.
+/// Time for which the records of a process are missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
     /// Process whose records are missing.
@@ -47,10 +48,10 @@
     /// Makes an empty report.
     pub fn new(from_ms: u64, to_ms: u64) -> Report {
         let rows = collections::BTreeMap::new();
-        Report { from_ms, to_ms, rows, seen: collections::BTreeMap::new() }
+        Report { from_ms, to_ms, rows, spans: collections::BTreeMap::new() }
     }
 
-    /// Adds a record that ends within the interval; false if it was added before.
+    /// Adds a record; returns false if it ends outside the interval or was added before.
     pub fn add(&mut self, record: usage::Record) -> bool {
         if record.to_ms < self.from_ms || record.to_ms >= self.to_ms {
             return false;
@@ -58,8 +59,8 @@
         let process = Process { entry: record.entry, incarnation: record.incarnation };
         let usage::Record { from_ms, to_ms, due_ms, last, .. } = record;
         let span = Span { from_ms, to_ms, due_ms, last };
-        let seen = self.seen.entry(process).or_default();
-        if seen.insert(record.seq, span).is_some() {
+        let spans = self.spans.entry(process).or_default();
+        if spans.insert(record.seq, span).is_some() {
             return false;
         }
         for row in record.rows {
@@ -68,27 +69,28 @@
         true
     }
 
-    /// Totals by service and caller, in order.
+    /// Service, caller and their totals, sorted by service and caller.
     pub fn rows(&self) -> impl Iterator<Item = (&str, &str, &usage::Totals)> {
         let rows = self.rows.iter();
         rows.map(|((service, caller), totals)| (service.as_str(), caller.as_str(), totals))
     }
 
-    /// Records added.
+    /// Number of records added.
     pub fn record_count(&self) -> usize {
-        self.seen.values().map(collections::BTreeMap::len).sum()
+        self.spans.values().map(collections::BTreeMap::len).sum()
     }
 
-    /// Times before `now_ms` for which records are missing.
+    /// Times before `now_ms` for which records are missing: before the first record of a process,
+    /// between two records, or after one that is not marked as the last.
     pub fn gaps(&self, now_ms: u64) -> Vec<Gap> {
         let mut gaps = Vec::new();
-        for (process, spans) in &self.seen {
+        for (process, spans) in &self.spans {
             gaps.extend(self.first_gap(process, spans));
             gaps.extend(inner_gaps(process, spans));
             let Some(end) = spans.values().next_back().filter(|span| !span.last) else { continue };
-            let quiet = self.to_ms.min(now_ms).saturating_sub(end.to_ms);
-            // A live entry writes a record each interval, so a longer silence is a gap.
-            if quiet > end.due_ms.max(2 * (end.to_ms - end.from_ms)).max(1) {
+            let since_last = self.to_ms.min(now_ms).saturating_sub(end.to_ms);
+            // A live entry writes a record each interval, so a longer time without one is a gap.
+            if since_last > end.due_ms.max(2 * (end.to_ms - end.from_ms)).max(1) {
                 let process = process.clone();
                 gaps.push(Gap { process, from_ms: end.to_ms, to_ms: None });
             }
@@ -96,7 +98,8 @@
         gaps
     }
 
-    // Earlier records of a process may end before the report starts; later ones must be there.
+    // Records with lower numbers are only missing if the first one found starts after the report
+    // does; otherwise they ended before it.
     fn first_gap(
         &self,
         process: &Process,
