--- a/crates/report/src/render.rs
+++ b/crates/report/src/render.rs
@@ -1,4 +1,4 @@
-//! Writes a report as text, CSV or JSON.
+//! Formats a report as text, CSV or JSON.
 
 use std::{collections, fmt::Write, time};
 
@@ -25,7 +25,7 @@
     "between_p95_ms",
 ];
 
-fn cells(service: &str, caller: &str, totals: &usage::Totals) -> [String; 14] {
+fn row_cells(service: &str, caller: &str, totals: &usage::Totals) -> [String; 14] {
     let outcome = |name: &str| totals.outcomes.get(name).copied().unwrap_or(0).to_string();
     let wasted: u64 = totals.wasted_tokens.values().sum();
     [
@@ -40,25 +40,25 @@
         totals.useful_tokens.to_string(),
         totals.prefill_tokens.to_string(),
         wasted.to_string(),
-        millis(totals.first.quantile(0.5)),
-        millis(totals.first.quantile(0.95)),
-        millis(totals.between.quantile(0.95)),
+        format_millis(totals.first.quantile(0.5)),
+        format_millis(totals.first.quantile(0.95)),
+        format_millis(totals.between.quantile(0.95)),
     ]
 }
 
-fn millis(time: Option<time::Duration>) -> String {
+fn format_millis(time: Option<time::Duration>) -> String {
     time.map_or("-".to_string(), |time| format!("{:.1}", time.as_secs_f64() * 1000.0))
 }
 
-/// Writes a report for people.
+/// Formats a report as a table for people, followed by the reasons and the gaps.
 pub fn text(report: &merge::Report, now_ms: u64) -> String {
-    let mut lines: Vec<[String; 14]> = vec![COLUMNS.map(str::to_string)];
-    lines.extend(report.rows().map(|(service, caller, totals)| cells(service, caller, totals)));
+    let mut rows: Vec<[String; 14]> = vec![COLUMNS.map(str::to_string)];
+    rows.extend(report.rows().map(|(service, caller, totals)| row_cells(service, caller, totals)));
     let (from, to) = (dates::format_time(report.from_ms), dates::format_time(report.to_ms));
     let mut text = format!("usage from {from} to {to}, {} records\n", report.record_count());
-    for line in &lines {
-        for (column, cell) in line.iter().enumerate() {
-            let width = lines.iter().map(|line| line[column].len()).max().unwrap_or(0);
+    for row in &rows {
+        for (column, cell) in row.iter().enumerate() {
+            let width = rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
             let _ = write!(text, "{cell:<width$}  ");
         }
         text.truncate(text.trim_end().len());
@@ -79,11 +79,11 @@
     text: &mut String,
     service: &str,
     caller: &str,
-    what: &str,
+    label: &str,
     reasons: &collections::BTreeMap<String, u64>,
 ) {
     for (reason, count) in reasons {
-        let _ = writeln!(text, "{what} {service} {caller} {reason} {count}");
+        let _ = writeln!(text, "{label} {service} {caller} {reason} {count}");
     }
 }
 
@@ -94,12 +94,12 @@
     format!("gap {} {:016x} from {from} to {end}\n", process.entry, process.incarnation)
 }
 
-/// Writes a report as comma-separated values; gaps are comment lines at the end.
+/// Formats a report as comma-separated values; gaps are comment lines at the end.
 pub fn csv(report: &merge::Report, now_ms: u64) -> String {
     let mut text = COLUMNS.join(",");
     text.push('\n');
     for (service, caller, totals) in report.rows() {
-        text.push_str(&cells(service, caller, totals).join(","));
+        text.push_str(&row_cells(service, caller, totals).join(","));
         text.push('\n');
     }
     for gap in report.gaps(now_ms) {
@@ -108,7 +108,7 @@
     text
 }
 
-/// Writes a report for programs.
+/// Formats a report as JSON.
 pub fn json(report: &merge::Report, now_ms: u64) -> serde_json::Value {
     let rows: Vec<_> = report
         .rows()
@@ -117,9 +117,9 @@
                 "service": service,
                 "caller": caller,
                 "totals": totals,
-                "first_p50_ms": millis(totals.first.quantile(0.5)),
-                "first_p95_ms": millis(totals.first.quantile(0.95)),
-                "between_p95_ms": millis(totals.between.quantile(0.95)),
+                "first_p50_ms": format_millis(totals.first.quantile(0.5)),
+                "first_p95_ms": format_millis(totals.first.quantile(0.95)),
+                "between_p95_ms": format_millis(totals.between.quantile(0.95)),
             })
         })
         .collect();
