--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -1,4 +1,4 @@
-//! Report command.
+//! The `rhubarb-report` command line.
 
 use std::{net, time};
 
@@ -9,21 +9,21 @@
 use rhubarb_platform::store;
 use rhubarb_report::{dates, merge, render};
 
-/// Time for one call to the store.
-const LIMIT: time::Duration = time::Duration::from_secs(5);
+/// Timeout of one call to the store.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-enum Form {
+enum OutputFormat {
     Text,
     Csv,
     Json,
 }
 
-// Where the records are.
+// Where the usage records are stored.
 enum Source {
-    // The object store that a settings file names.
+    // In the object store that a settings file names.
     Settings(String),
-    // The users' platform's store.
+    // In the store of the users' platform, at this address.
     Store(net::SocketAddr),
 }
 
@@ -31,7 +31,7 @@
     source: Source,
     from: u64,
     to: u64,
-    form: Form,
+    format: OutputFormat,
     remove_before: Option<u64>,
 }
 
@@ -54,31 +54,31 @@
     let source = bpaf::construct!([settings, store]);
     let from = date("from", "Start of the report");
     let to = date("to", "End of the report, which is not included");
-    let form = bpaf::long("format")
+    let format = bpaf::long("format")
         .help("Form of the output: text, csv or json")
         .argument::<String>("FORM")
-        .parse(|form| match form.as_str() {
-            "text" => Ok(Form::Text),
-            "csv" => Ok(Form::Csv),
-            "json" => Ok(Form::Json),
+        .parse(|format| match format.as_str() {
+            "text" => Ok(OutputFormat::Text),
+            "csv" => Ok(OutputFormat::Csv),
+            "json" => Ok(OutputFormat::Json),
             _ => Err("give text, csv or json"),
         })
-        .fallback(Form::Text);
+        .fallback(OutputFormat::Text);
     let remove_before =
         date("remove-before", "Removes records that ended before, after the report").optional();
-    bpaf::construct!(Options { source, from, to, form, remove_before })
+    bpaf::construct!(Options { source, from, to, format, remove_before })
         .to_options()
         .descr("Shows what each caller got from each service")
         .version(env!("CARGO_PKG_VERSION"))
 }
 
 /// A record and the name of its object.
-struct Stored {
+struct StoredRecord {
     name: String,
     record: usage::Record,
 }
 
-async fn remove(source: &Source, names: &[String]) -> anyhow::Result<()> {
+async fn remove_records(source: &Source, names: &[String]) -> anyhow::Result<()> {
     let Source::Store(address) = source else {
         anyhow::ensure!(
             names.is_empty(),
@@ -88,7 +88,7 @@
     };
     let store = store::Store::new(client::Client::new(), *address);
     for name in names {
-        store.remove_object(name, LIMIT).await?;
+        store.remove_object(name, REQUEST_TIMEOUT).await?;
     }
     if !names.is_empty() {
         eprintln!("removed {} records", names.len());
@@ -96,10 +96,11 @@
     Ok(())
 }
 
-async fn read_objects(path: &str) -> anyhow::Result<Vec<Stored>> {
+async fn read_objects(path: &str) -> anyhow::Result<Vec<StoredRecord>> {
     let mut file = settings::Settings::load(path)?;
     let platform = shared_settings::PlatformUrls::read(&mut file);
-    // The file is that of rhubarb-ctl, whose own section is of no use here.
+    // The settings file is that of rhubarb-ctl; its `[ctl]` section is read so that it is not
+    // reported as unknown.
     drop(file.section("ctl"));
     file.finish()?;
     let objects = objects::Objects::new(client::Client::new(), &platform.objects);
@@ -111,21 +112,21 @@
     Ok(records)
 }
 
-async fn read_store(address: net::SocketAddr) -> anyhow::Result<Vec<Stored>> {
+async fn read_store(address: net::SocketAddr) -> anyhow::Result<Vec<StoredRecord>> {
     let store = store::Store::new(client::Client::new(), address);
     let mut records = Vec::new();
-    for name in store.list_objects(store::USAGE, LIMIT).await? {
-        // One that is gone since the names were read was removed on purpose.
-        let Some(content) = store.get_object(&name, LIMIT).await? else { continue };
+    for name in store.list_objects(store::USAGE, REQUEST_TIMEOUT).await? {
+        // A record that disappeared after the listing was removed on purpose.
+        let Some(content) = store.get_object(&name, REQUEST_TIMEOUT).await? else { continue };
         records.push(read_record(name, &content)?);
     }
     Ok(records)
 }
 
-fn read_record(name: String, content: &[u8]) -> anyhow::Result<Stored> {
+fn read_record(name: String, content: &[u8]) -> anyhow::Result<StoredRecord> {
     let record = serde_json::from_slice(content)
         .map_err(|err| anyhow::anyhow!("{name} is not a usage record: {err}; remove it"))?;
-    Ok(Stored { name, record })
+    Ok(StoredRecord { name, record })
 }
 
 #[tokio::main(flavor = "current_thread")]
@@ -145,10 +146,10 @@
         report.add(stored.record);
     }
     let now = clock::unix_ms();
-    match options.form {
-        Form::Text => print!("{}", render::text(&report, now)),
-        Form::Csv => print!("{}", render::csv(&report, now)),
-        Form::Json => println!("{}", render::json(&report, now)),
+    match options.format {
+        OutputFormat::Text => print!("{}", render::text(&report, now)),
+        OutputFormat::Csv => print!("{}", render::csv(&report, now)),
+        OutputFormat::Json => println!("{}", render::json(&report, now)),
     }
-    remove(&options.source, &old).await
+    remove_records(&options.source, &old).await
 }
