--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{frame, request};
+use crate::{request, scenario};
 
 /// Requests that decode memory holds.
 pub(crate) const ROOMS: u32 = 20;
@@ -87,7 +87,7 @@
 }
 
 /// Requests a second that the engines of a fleet can carry.
-pub(crate) fn capacity(fleet: &frame::Fleet) -> f64 {
+pub(crate) fn capacity(fleet: &scenario::Fleet) -> f64 {
     let prefill = PREFILL_BASE + PREFILL_TOKEN.mul_f64(request::MEAN_PROMPT);
     let step = STEP + STEP_EACH * ROOMS;
     let decode = step.mul_f64(request::MEAN_OUTPUT);
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -4,20 +4,20 @@
 //! so. Every run with the same seed gives the same result.
 //!
 //! ```
-//! use rhubarb_bench::{frame, policy, world};
+//! use rhubarb_bench::{policy, scenario, world};
 //!
-//! let mut run = frame::Run::new(frame::laine_sahel(), 0.5);
-//! run.seconds = 5;
-//! let first = world::simulate(&run, &policy::LATEST);
-//! assert_eq!(first, world::simulate(&run, &policy::LATEST));
+//! let mut scenario = scenario::Scenario::new(scenario::laine_sahel(), 0.5);
+//! scenario.seconds = 5;
+//! let first = world::simulate(&scenario, &policy::LATEST);
+//! assert_eq!(first, world::simulate(&scenario, &policy::LATEST));
 //! ```
 
 mod engine;
 mod event;
-pub mod frame;
 pub mod policy;
 mod random;
 mod request;
+pub mod scenario;
 pub mod score;
 mod server;
 pub mod world;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Parser;
 
-use rhubarb_bench::{frame, policy, score, world};
+use rhubarb_bench::{policy, scenario, score, world};
 
 struct Options {
     faults: bool,
@@ -18,33 +18,37 @@
 }
 
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 1.2, 2.0];
-fn runs(options: &Options) -> Vec<frame::Run> {
-    let mut runs = Vec::new();
-    for fleet in [frame::laine_sahel(), frame::compas_nautico()] {
+fn scenarios(options: &Options) -> Vec<scenario::Scenario> {
+    let mut scenarios = Vec::new();
+    for fleet in [scenario::laine_sahel(), scenario::compas_nautico()] {
         for load in LOADS {
-            runs.push(frame::Run::new(fleet.clone(), load));
+            scenarios.push(scenario::Scenario::new(fleet.clone(), load));
         }
-        for shape in [frame::Shape::Burst, frame::Shape::Greedy] {
-            runs.push(frame::Run { shape, ..frame::Run::new(fleet.clone(), 0.9) });
+        for shape in [scenario::Shape::Burst, scenario::Shape::Greedy] {
+            scenarios
+                .push(scenario::Scenario { shape, ..scenario::Scenario::new(fleet.clone(), 0.9) });
         }
-        let faults = if options.faults { &frame::FAULTS[..] } else { &[] };
+        let faults = if options.faults { &scenario::FAULTS[..] } else { &[] };
         for fault in faults {
-            runs.push(frame::Run { fault: *fault, ..frame::Run::new(fleet.clone(), 0.9) });
+            scenarios.push(scenario::Scenario {
+                fault: *fault,
+                ..scenario::Scenario::new(fleet.clone(), 0.9)
+            });
         }
     }
-    for run in &mut runs {
-        run.seed = options.seed;
+    for scenario in &mut scenarios {
+        scenario.seed = options.seed;
     }
-    runs
+    scenarios
 }
 
 fn main() {
     let options = options().run();
     print!("{}", score::head());
-    for run in runs(&options) {
+    for scenario in scenarios(&options) {
         for policy in &policy::ALL {
-            let score = world::simulate(&run, policy);
-            print!("{}", score::line(&run, policy.name, &score));
+            let score = world::simulate(&scenario, policy);
+            print!("{}", score::line(&scenario, policy.name, &score));
         }
     }
 }
--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fair_share, flow, outcome};
 
-use crate::{frame, random};
+use crate::{random, scenario};
 
 /// A request.
 #[derive(Debug)]
@@ -51,13 +51,13 @@
     random: &mut random::Random,
     caller: usize,
     arrived: time::Instant,
-    fault: frame::Fault,
+    fault: scenario::Fault,
 ) -> Request {
-    let leaves = fault == frame::Fault::Cancels && random.unit() < LEAVE_SHARE;
+    let leaves = fault == scenario::Fault::Cancels && random.unit() < LEAVE_SHARE;
     let after = time::Duration::from_secs_f64(random.unit() * LEAVE_WITHIN);
     Request {
         caller,
-        entry: random.next() as usize % frame::ZONES,
+        entry: random.next() as usize % scenario::ZONES,
         prompt: random.log_uniform(PROMPT_TOKENS.0, PROMPT_TOKENS.1) as u32,
         prefix: random.next() % PREFIXES,
         output: random.log_uniform(OUTPUT_TOKENS.0, OUTPUT_TOKENS.1) as u32,
@@ -84,25 +84,25 @@
 /// Arrival times and callers of a run, in order.
 pub(crate) fn arrivals(
     random: &mut random::Random,
-    run: &frame::Run,
+    scenario: &scenario::Scenario,
     rate: f64,
 ) -> Vec<(time::Duration, usize)> {
     let mut arrivals = Vec::new();
-    let greedy = rate / frame::CALLERS as f64 * 9.0;
-    let total = if run.shape == frame::Shape::Greedy { rate + greedy } else { rate };
+    let greedy = rate / scenario::CALLERS as f64 * 9.0;
+    let total = if scenario.shape == scenario::Shape::Greedy { rate + greedy } else { rate };
     let mut at = 0.0;
     loop {
-        let factor = match run.shape {
-            frame::Shape::Burst if (at as u64).is_multiple_of(4) => 2.0,
-            frame::Shape::Burst => 2.0 / 3.0,
+        let factor = match scenario.shape {
+            scenario::Shape::Burst if (at as u64).is_multiple_of(4) => 2.0,
+            scenario::Shape::Burst => 2.0 / 3.0,
             _ => 1.0,
         };
         at += random.gap(total * factor);
-        if at >= run.seconds as f64 {
+        if at >= scenario.seconds as f64 {
             return arrivals;
         }
         let is_greedy = random.unit() * total >= rate;
-        let even = random.next() as usize % frame::CALLERS;
+        let even = random.next() as usize % scenario::CALLERS;
         let caller = if is_greedy { 0 } else { even };
         arrivals.push((time::Duration::from_secs_f64(at), caller));
     }
--- a/crates/bench/src/frame.rs
+++ b/crates/bench/src/scenario.rs
@@ -103,7 +103,7 @@
 
 /// One cell of the table.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Scenario {
     /// Fleet.
     pub fleet: Fleet,
     /// Load as a multiple of what the engines can carry.
@@ -118,9 +118,9 @@
     pub seed: u64,
 }
 
-impl Run {
+impl Scenario {
     /// Makes a steady run without faults.
-    pub fn new(fleet: Fleet, load: f64) -> Run {
-        Run { fleet, load, shape: Shape::Steady, fault: Fault::None, seconds: 30, seed: 7 }
+    pub fn new(fleet: Fleet, load: f64) -> Scenario {
+        Scenario { fleet, load, shape: Shape::Steady, fault: Fault::None, seconds: 30, seed: 7 }
     }
 }
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{outcome, usage};
 
-use crate::{frame, request};
+use crate::{request, scenario};
 
 use outcome::Reason;
 
@@ -40,8 +40,8 @@
     wasted: u64,
     score: Score,
     ledger: usage::Ledger,
-    good: [u64; frame::CALLERS],
-    arrived: [u64; frame::CALLERS],
+    good: [u64; scenario::CALLERS],
+    arrived: [u64; scenario::CALLERS],
     answered: u64,
 }
 
@@ -55,8 +55,8 @@
             wasted: 0,
             score: Score::default(),
             ledger: usage::Ledger::new("bench".to_string(), 1, 0),
-            good: [0; frame::CALLERS],
-            arrived: [0; frame::CALLERS],
+            good: [0; scenario::CALLERS],
+            arrived: [0; scenario::CALLERS],
             answered: 0,
         }
     }
@@ -86,7 +86,7 @@
         *self.score.refused.entry(refusal.reason.name()).or_default() += 1;
     }
 
-    pub(crate) fn answer(&mut self, request: &request::Request, fleet: &frame::Fleet) {
+    pub(crate) fn answer(&mut self, request: &request::Request, fleet: &scenario::Fleet) {
         self.answered += 1;
         self.totals(request.caller).count_outcome(outcome::Outcome::Answered, None);
         let (Some(first), Some(last)) = (request.first_at, request.last_at) else { return };
@@ -105,7 +105,7 @@
         let sum: f64 = good.iter().sum();
         let squares: f64 = good.iter().map(|count| count * count).sum();
         let worst = good.iter().copied().fold(f64::INFINITY, f64::min);
-        let count = frame::CALLERS as f64;
+        let count = scenario::CALLERS as f64;
         self.score.goodput = sum / seconds;
         self.score.answered = self.answered as f64 / seconds;
         self.score.wasted = self.wasted as f64 / (self.prefilled as f64).max(1.0);
@@ -127,13 +127,13 @@
 }
 
 /// Line of the table.
-pub fn line(run: &frame::Run, policy: &str, score: &Score) -> String {
+pub fn line(scenario: &scenario::Scenario, policy: &str, score: &Score) -> String {
     let mut text = format!(
         "| {} | {} | {:?} | {:?} | {policy} | {:.1} | {:.1} | {:.1} | {:.2} | {:.2} | {:.3} | ",
-        run.fleet.name,
-        run.load,
-        run.shape,
-        run.fault,
+        scenario.fleet.name,
+        scenario.load,
+        scenario.shape,
+        scenario.fault,
         score.goodput,
         score.others,
         score.answered,
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -6,7 +6,7 @@
     budget, fair_share, flow, ids, load, outcome, pool, prefill_time, slots, usage,
 };
 
-use crate::{engine, event, frame, policy, random, request, score, server};
+use crate::{engine, event, policy, random, request, scenario, score, server};
 
 use event::{Event, LoadKey, Tag};
 use server::{Entry, Server, least_reported, make_pool};
@@ -27,7 +27,7 @@
 const TAIL: time::Duration = time::Duration::from_secs(40);
 
 struct World<'a> {
-    run: &'a frame::Run,
+    scenario: &'a scenario::Scenario,
     policy: &'a policy::Policy,
     start: time::Instant,
     now: time::Instant,
@@ -41,18 +41,18 @@
 }
 
 /// Runs one cell of the table.
-pub fn simulate(run: &frame::Run, policy: &policy::Policy) -> score::Score {
-    simulate_with_usage(run, policy).0
+pub fn simulate(scenario: &scenario::Scenario, policy: &policy::Policy) -> score::Score {
+    simulate_with_usage(scenario, policy).0
 }
 
 /// Runs one cell of the table, and returns the usage that an entry would have recorded too.
 pub fn simulate_with_usage(
-    run: &frame::Run,
+    scenario: &scenario::Scenario,
     policy: &policy::Policy,
 ) -> (score::Score, usage::Ledger) {
-    let mut world = World::new(run, policy);
+    let mut world = World::new(scenario, policy);
     world.prepare();
-    let end = world.start + time::Duration::from_secs(run.seconds) + TAIL;
+    let end = world.start + time::Duration::from_secs(scenario.seconds) + TAIL;
     while let Some(cmp::Reverse((at, _, event))) = world.queue.pop() {
         if at > end {
             break;
@@ -62,19 +62,19 @@
     }
     let held: u32 =
         world.servers.iter().filter(|server| !server.dead).map(|server| server.held(end)).sum();
-    world.tally.finish(time::Duration::from_secs(run.seconds), held)
+    world.tally.finish(time::Duration::from_secs(scenario.seconds), held)
 }
 
 impl<'a> World<'a> {
-    fn new(run: &'a frame::Run, policy: &'a policy::Policy) -> World<'a> {
+    fn new(scenario: &'a scenario::Scenario, policy: &'a policy::Policy) -> World<'a> {
         let start = time::Instant::now();
-        let fleet = &run.fleet;
+        let fleet = &scenario.fleet;
         let servers = (0..fleet.prefills + fleet.decodes).map(|number| {
             let is_prefill = number < fleet.prefills;
             let rooms = if is_prefill { engine::PREFILLS } else { engine::ROOMS };
             Server {
                 name: format!("server-{number:02}"),
-                zone: number % frame::ZONES,
+                zone: number % scenario::ZONES,
                 rooms: slots::Slots::new(rooms, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
                 pace: prefill_time::PrefillTime::default(),
@@ -85,7 +85,7 @@
             }
         });
         let servers: Vec<_> = servers.collect();
-        let entries = (0..frame::ZONES).map(|zone| Entry {
+        let entries = (0..scenario::ZONES).map(|zone| Entry {
             prefills: make_pool(zone, &servers[..fleet.prefills], policy),
             decodes: make_pool(zone, &servers[fleet.prefills..], policy),
             budget: budget::RetryBudget::default(),
@@ -93,13 +93,13 @@
             turn: zone,
         });
         World {
-            run,
+            scenario,
             policy,
             start,
             now: start,
             queue: collections::BinaryHeap::new(),
             seq: 0,
-            random: random::Random::new(run.seed),
+            random: random::Random::new(scenario.seed),
             entries: entries.collect(),
             servers,
             requests: Vec::new(),
@@ -108,25 +108,25 @@
     }
 
     fn prepare(&mut self) {
-        let rate = engine::capacity(&self.run.fleet) * self.run.load;
-        for (at, caller) in request::arrivals(&mut self.random, self.run, rate) {
+        let rate = engine::capacity(&self.scenario.fleet) * self.scenario.load;
+        for (at, caller) in request::arrivals(&mut self.random, self.scenario, rate) {
             let arrived = self.start + at;
-            let request = request::draw(&mut self.random, caller, arrived, self.run.fault);
+            let request = request::draw(&mut self.random, caller, arrived, self.scenario.fault);
             let number = self.requests.len();
             if let Some(leaves) = request.leaves {
                 self.push_at(leaves, Event::Leave(number));
             }
             self.requests.push(request);
-            self.push_at(arrived + self.run.fleet.caller_delay, Event::Arrive(number));
+            self.push_at(arrived + self.scenario.fleet.caller_delay, Event::Arrive(number));
         }
         for server in 0..self.servers.len() {
-            for entry in 0..frame::ZONES {
+            for entry in 0..scenario::ZONES {
                 let offset = REPORT_PERIOD.mul_f64(self.random.unit());
                 self.push_at(self.start + offset, Event::Report { entry, server });
             }
             self.push_at(self.start, Event::Sweep { server });
         }
-        let third = time::Duration::from_secs(self.run.seconds) / 3;
+        let third = time::Duration::from_secs(self.scenario.seconds) / 3;
         self.push_at(self.start + third, Event::FaultStarts);
         self.push_at(self.start + third + FAULT_TIME, Event::FaultEnds);
     }
@@ -219,7 +219,7 @@
         match self.choose(number, false) {
             Some(server) => {
                 self.requests[number].decode = Some(server);
-                self.push(frame::HOP, Event::AskRoom { tag, server });
+                self.push(scenario::HOP, Event::AskRoom { tag, server });
             }
             None => self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO),
         }
@@ -230,7 +230,7 @@
         match self.choose(number, true) {
             Some(server) => {
                 self.requests[number].prefill = Some(server);
-                self.push(frame::HOP, Event::AskPrefill { tag, server });
+                self.push(scenario::HOP, Event::AskPrefill { tag, server });
             }
             None => self.refuse_later(tag, true, Reason::NoServer, false, time::Duration::ZERO),
         }
@@ -245,13 +245,13 @@
             return self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO);
         };
         let done_ms = (self.now - self.start).as_millis() as u64;
-        self.push(frame::HOP, Event::AskDecode { tag, server, done_ms });
+        self.push(scenario::HOP, Event::AskDecode { tag, server, done_ms });
     }
 
     fn choose(&mut self, number: usize, is_prefill: bool) -> Option<usize> {
         let random = self.random.next();
         let request = &self.requests[number];
-        let fleet = &self.run.fleet;
+        let fleet = &self.scenario.fleet;
         let (first, count) =
             if is_prefill { (0, fleet.prefills) } else { (fleet.prefills, fleet.decodes) };
         let entry = &mut self.entries[request.entry];
@@ -338,7 +338,7 @@
         let tag = self.tag(number);
         let request = &self.requests[number];
         for server in [request.decode, request.prefill].into_iter().flatten() {
-            self.push(frame::HOP, Event::Cancel { tag, server });
+            self.push(scenario::HOP, Event::Cancel { tag, server });
         }
         self.note_end(number, false, pool::ServerOutcome::Unknown);
         self.note_end(number, true, pool::ServerOutcome::Unknown);
@@ -357,7 +357,7 @@
         let request = &mut self.requests[number];
         request.closed = true;
         self.entries[request.entry].budget.deposit();
-        self.tally.answer(request, &self.run.fleet);
+        self.tally.answer(request, &self.scenario.fleet);
     }
 
     fn close_refused(&mut self, number: usize, refusal: Refusal) {
@@ -367,8 +367,8 @@
     }
 
     fn report(&mut self, entry: usize, server: usize) {
-        let is_late = self.run.fault == frame::Fault::LateReports;
-        let delay = if is_late { frame::HOP + LATE_BY } else { frame::HOP };
+        let is_late = self.scenario.fault == scenario::Fault::LateReports;
+        let delay = if is_late { scenario::HOP + LATE_BY } else { scenario::HOP };
         if self.servers[server].is_there() {
             let load = self.servers[server].rooms.load(self.now);
             let load = (load.slots, load.held, load.waiting, load.queue_ms);
@@ -380,7 +380,7 @@
     fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
         let (rooms, held, waiting, queue_ms) = load;
         let load = load::Load { slots: rooms, held, waiting, queue_ms, leaving: false };
-        let is_prefill = server < self.run.fleet.prefills;
+        let is_prefill = server < self.scenario.fleet.prefills;
         let entry = &mut self.entries[entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
         pool.update_load(&self.servers[server].name, load, self.now);
@@ -403,7 +403,7 @@
     fn reaches(&mut self, tag: Tag, server: usize, at_prefill: bool) -> bool {
         let (dead, silent) = (self.servers[server].dead, self.servers[server].silent);
         if dead {
-            self.refuse_later(tag, at_prefill, Reason::NoServer, false, frame::HOP);
+            self.refuse_later(tag, at_prefill, Reason::NoServer, false, scenario::HOP);
         } else if silent {
             self.refuse_later(tag, at_prefill, Reason::NoServer, false, CONNECT_LIMIT);
         }
@@ -415,8 +415,8 @@
             return;
         }
         let request = &self.requests[tag.request];
-        let wait_by =
-            (request.arrived + self.run.fleet.deadline).min(self.now + self.run.fleet.max_wait);
+        let wait_by = (request.arrived + self.scenario.fleet.deadline)
+            .min(self.now + self.scenario.fleet.max_wait);
         let is_excess = request.share == fair_share::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
         let answer = if is_excess {
@@ -425,12 +425,12 @@
             rooms.request(tag.run(), wait_by, self.now)
         };
         match answer {
-            slots::Answer::Granted => self.push(frame::HOP, Event::Granted { tag }),
+            slots::Answer::Granted => self.push(scenario::HOP, Event::Granted { tag }),
             slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
+                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP);
             }
         }
     }
@@ -443,12 +443,12 @@
         let state = &mut self.servers[server];
         let work = state.pace.estimate(request.prompt);
         let start_by = if self.policy.due {
-            let fleet = &self.run.fleet;
+            let fleet = &self.scenario.fleet;
             let first_token = request.arrived + fleet.first_token;
             let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
             due.latest_start(work, self.now)
         } else {
-            request.arrived + self.run.fleet.deadline
+            request.arrived + self.scenario.fleet.deadline
         };
         let work = if self.policy.work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair_share::Share::Excess {
@@ -462,7 +462,7 @@
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, true, refusal.reason, false, frame::HOP);
+                self.refuse_later(tag, true, refusal.reason, false, scenario::HOP);
             }
         }
     }
@@ -486,7 +486,7 @@
         let now = self.now;
         self.servers[server].rooms.release(tag.run(), now);
         self.grant(server);
-        self.push(frame::HOP, Event::Prefilled { tag });
+        self.push(scenario::HOP, Event::Prefilled { tag });
     }
 
     fn ask_decode(&mut self, tag: Tag, server: usize, done_ms: u64) {
@@ -497,7 +497,7 @@
         let now = self.now;
         if self.policy.reserve {
             if !self.servers[server].rooms.claim(tag.run()) {
-                return self.refuse_later(tag, false, Reason::TooLate, false, frame::HOP);
+                return self.refuse_later(tag, false, Reason::TooLate, false, scenario::HOP);
             }
             return self.transfer(tag, server, done);
         }
@@ -511,7 +511,7 @@
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, frame::HOP);
+                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP);
             }
         }
     }
@@ -522,7 +522,7 @@
         let ends = self.servers[source].engine.transfer(prompt, self.now);
         let evicted = done + engine::KEEP_RESULT;
         if ends > evicted {
-            let wait = evicted.saturating_duration_since(self.now) + frame::HOP;
+            let wait = evicted.saturating_duration_since(self.now) + scenario::HOP;
             self.servers[server].rooms.release(tag.run(), self.now);
             self.grant(server);
             return self.refuse_later(tag, false, Reason::Evicted, false, wait);
@@ -566,7 +566,7 @@
         for stream in ended {
             let tag = Tag { request: stream.request, attempt: stream.attempt };
             self.servers[server].rooms.release(tag.run(), self.now);
-            self.push(frame::HOP, Event::Ended { tag });
+            self.push(scenario::HOP, Event::Ended { tag });
         }
         self.grant(server);
         let step = self.servers[server].engine.step_time();
@@ -574,7 +574,7 @@
     }
 
     fn send_token(&mut self, stream: &engine::Stream) {
-        let at = self.now + frame::HOP + self.run.fleet.caller_delay;
+        let at = self.now + scenario::HOP + self.scenario.fleet.caller_delay;
         let request = &mut self.requests[stream.request];
         if request.attempt != stream.attempt || request.closed {
             return;
@@ -605,7 +605,7 @@
         state.waiting.remove(&tag.run());
         state.done_at.remove(&tag.run());
         // A prefill that has begun runs to its end.
-        if server >= self.run.fleet.prefills {
+        if server >= self.scenario.fleet.prefills {
             state.rooms.release(tag.run(), now);
         }
         self.grant(server);
@@ -617,10 +617,10 @@
                 self.servers[server].rooms.release(run, self.now);
                 continue;
             };
-            if server < self.run.fleet.prefills {
+            if server < self.scenario.fleet.prefills {
                 self.run_prefill(tag, server);
             } else if self.policy.reserve {
-                self.push(frame::HOP, Event::Granted { tag });
+                self.push(scenario::HOP, Event::Granted { tag });
             } else {
                 let done = self.servers[server].done_at[&run];
                 self.servers[server].rooms.claim(run);
@@ -633,8 +633,8 @@
         if self.servers[server].is_there() {
             while let Some((run, refusal)) = self.servers[server].rooms.next_expired(self.now) {
                 if let Some(tag) = self.servers[server].waiting.remove(&run) {
-                    let at_prefill = server < self.run.fleet.prefills;
-                    self.refuse_later(tag, at_prefill, refusal.reason, false, frame::HOP);
+                    let at_prefill = server < self.scenario.fleet.prefills;
+                    self.refuse_later(tag, at_prefill, refusal.reason, false, scenario::HOP);
                 }
             }
             self.grant(server);
@@ -645,25 +645,25 @@
     // --- faults ---
 
     fn switch_fault(&mut self, starts: bool) {
-        let first_decode = self.run.fleet.prefills;
-        match (self.run.fault, starts) {
-            (frame::Fault::DecodeDies, true) => {
+        let first_decode = self.scenario.fleet.prefills;
+        match (self.scenario.fault, starts) {
+            (scenario::Fault::DecodeDies, true) => {
                 self.servers[first_decode].dead = true;
                 self.lose_contact(first_decode);
             }
-            (frame::Fault::Freeze, _) => self.set_silent(first_decode, starts),
-            (frame::Fault::ZoneSilent, _) => {
+            (scenario::Fault::Freeze, _) => self.set_silent(first_decode, starts),
+            (scenario::Fault::ZoneSilent, _) => {
                 for server in 0..self.servers.len() {
                     if self.servers[server].zone == 0 {
                         self.set_silent(server, starts);
                     }
                 }
             }
-            (frame::Fault::LinkStalls, true) => {
+            (scenario::Fault::LinkStalls, true) => {
                 let until = self.now + FAULT_TIME;
                 self.servers[0].engine.stall_link(until);
             }
-            (frame::Fault::SlowEngine, true) => self.servers[first_decode].engine.slow = 3,
+            (scenario::Fault::SlowEngine, true) => self.servers[first_decode].engine.slow = 3,
             _ => {}
         }
     }
--- a/crates/bench/tests/reports.rs
+++ b/crates/bench/tests/reports.rs
@@ -1,12 +1,12 @@
 //! The managers' report agrees with the bench's own counts.
 
-use rhubarb_bench::{frame, policy, score, world};
+use rhubarb_bench::{policy, scenario, score, world};
 use rhubarb_report::merge;
 
-fn merged(run: &frame::Run) -> (score::Score, merge::Report) {
-    let (score, ledger) = world::simulate_with_usage(run, &policy::LATEST);
+fn merged(scenario: &scenario::Scenario) -> (score::Score, merge::Report) {
+    let (score, ledger) = world::simulate_with_usage(scenario, &policy::LATEST);
     let mut report = merge::Report::new(0, u64::MAX);
-    let record = ledger.next_record().expect("the run was closed");
+    let record = ledger.next_record().expect("the scenario was closed");
     assert!(report.add(record.clone()));
     assert!(!report.add(record.clone()), "a record counts once");
     (score, report)
@@ -14,14 +14,14 @@
 
 #[test]
 fn totals_agree() {
-    let fleet = frame::compas_nautico();
-    for fault in [frame::Fault::None, frame::Fault::LinkStalls, frame::Fault::Cancels] {
-        let run = frame::Run { fault, ..frame::Run::new(fleet.clone(), 1.2) };
-        let (score, report) = merged(&run);
+    let fleet = scenario::compas_nautico();
+    for fault in [scenario::Fault::None, scenario::Fault::LinkStalls, scenario::Fault::Cancels] {
+        let scenario = scenario::Scenario { fault, ..scenario::Scenario::new(fleet.clone(), 1.2) };
+        let (score, report) = merged(&scenario);
         let sum = |count: &dyn Fn(&rhubarb_core::usage::Totals) -> u64| -> u64 {
             report.rows().map(|(_, _, totals)| count(totals)).sum()
         };
-        let seconds = run.seconds as f64;
+        let seconds = scenario.seconds as f64;
         let answered = sum(&|totals| totals.outcomes.get("answered").copied().unwrap_or(0));
         assert_eq!(answered as f64 / seconds, score.answered, "{fault:?}");
         assert_eq!(sum(&|totals| totals.good) as f64 / seconds, score.goodput, "{fault:?}");
