--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -4,12 +4,12 @@
 //! so. Every run with the same seed gives the same result.
 //!
 //! ```
-//! use rhubarb_bench::{policy, scenario, world};
+//! use rhubarb_bench::{policy, scenario, simulation};
 //!
 //! let mut scenario = scenario::Scenario::new(scenario::laine_sahel(), 0.5);
 //! scenario.seconds = 5;
-//! let first = world::simulate(&scenario, &policy::LATEST);
-//! assert_eq!(first, world::simulate(&scenario, &policy::LATEST));
+//! let first = simulation::simulate(&scenario, &policy::LATEST);
+//! assert_eq!(first, simulation::simulate(&scenario, &policy::LATEST));
 //! ```
 
 mod engine;
@@ -20,4 +20,4 @@
 pub mod scenario;
 pub mod score;
 mod server;
-pub mod world;
+pub mod simulation;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Parser;
 
-use rhubarb_bench::{policy, scenario, score, world};
+use rhubarb_bench::{policy, scenario, score, simulation};
 
 struct Options {
     faults: bool,
@@ -47,7 +47,7 @@
     print!("{}", score::head());
     for scenario in scenarios(&options) {
         for policy in &policy::ALL {
-            let score = world::simulate(&scenario, policy);
+            let score = simulation::simulate(&scenario, policy);
             print!("{}", score::line(&scenario, policy.name, &score));
         }
     }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/simulation.rs
@@ -26,7 +26,7 @@
 /// Time after the last arrival in which requests may end.
 const TAIL: time::Duration = time::Duration::from_secs(40);
 
-struct World<'a> {
+struct Simulation<'a> {
     scenario: &'a scenario::Scenario,
     policy: &'a policy::Policy,
     start: time::Instant,
@@ -50,23 +50,27 @@
     scenario: &scenario::Scenario,
     policy: &policy::Policy,
 ) -> (score::Score, usage::Ledger) {
-    let mut world = World::new(scenario, policy);
-    world.prepare();
-    let end = world.start + time::Duration::from_secs(scenario.seconds) + TAIL;
-    while let Some(cmp::Reverse((at, _, event))) = world.queue.pop() {
+    let mut simulation = Simulation::new(scenario, policy);
+    simulation.prepare();
+    let end = simulation.start + time::Duration::from_secs(scenario.seconds) + TAIL;
+    while let Some(cmp::Reverse((at, _, event))) = simulation.queue.pop() {
         if at > end {
             break;
         }
-        world.now = at;
-        world.handle(event);
+        simulation.now = at;
+        simulation.handle(event);
     }
-    let held: u32 =
-        world.servers.iter().filter(|server| !server.dead).map(|server| server.held(end)).sum();
-    world.tally.finish(time::Duration::from_secs(scenario.seconds), held)
+    let held: u32 = simulation
+        .servers
+        .iter()
+        .filter(|server| !server.dead)
+        .map(|server| server.held(end))
+        .sum();
+    simulation.tally.finish(time::Duration::from_secs(scenario.seconds), held)
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a scenario::Scenario, policy: &'a policy::Policy) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a scenario::Scenario, policy: &'a policy::Policy) -> Simulation<'a> {
         let start = time::Instant::now();
         let fleet = &scenario.fleet;
         let servers = (0..fleet.prefills + fleet.decodes).map(|number| {
@@ -92,7 +96,7 @@
             fair: fair_share::FairShare::default(),
             turn: zone,
         });
-        World {
+        Simulation {
             scenario,
             policy,
             start,
--- a/crates/bench/tests/bounds.rs
+++ b/crates/bench/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! Bounds of the policy in force, from its stated targets, on a short form of the bench.
 
-use rhubarb_bench::{policy, scenario, score, world};
+use rhubarb_bench::{policy, scenario, score, simulation};
 
 /// Goodput above capacity, as a part of that at capacity.
 const NO_COLLAPSE: f64 = 0.95;
@@ -15,7 +15,7 @@
 }
 
 fn latest(scenario: &scenario::Scenario) -> score::Score {
-    let score = world::simulate(scenario, &policy::LATEST);
+    let score = simulation::simulate(scenario, &policy::LATEST);
     assert_eq!(score.held, 0, "rooms still held: {scenario:?}");
     score
 }
@@ -64,7 +64,7 @@
             let scenario = scenario(&fleet, load);
             let ours = latest(&scenario);
             for baseline in [policy::ROUND_ROBIN, policy::LEAST_REPORTED] {
-                let other = world::simulate(&scenario, &baseline);
+                let other = simulation::simulate(&scenario, &baseline);
                 assert!(ours.goodput >= other.goodput * 0.99, "{} {load}", fleet.name);
                 assert!(ours.wasted <= other.wasted, "{} {load}", fleet.name);
             }
--- a/crates/bench/tests/reports.rs
+++ b/crates/bench/tests/reports.rs
@@ -1,10 +1,10 @@
 //! The managers' report agrees with the bench's own counts.
 
-use rhubarb_bench::{policy, scenario, score, world};
+use rhubarb_bench::{policy, scenario, score, simulation};
 use rhubarb_report::merge;
 
 fn merged(scenario: &scenario::Scenario) -> (score::Score, merge::Report) {
-    let (score, ledger) = world::simulate_with_usage(scenario, &policy::LATEST);
+    let (score, ledger) = simulation::simulate_with_usage(scenario, &policy::LATEST);
     let mut report = merge::Report::new(0, u64::MAX);
     let record = ledger.next_record().expect("the scenario was closed");
     assert!(report.add(record.clone()));
