--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod policy;
 mod random;
 mod request;
+pub mod results;
 pub mod scenario;
-pub mod score;
 mod server;
 pub mod simulation;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Parser;
 
-use rhubarb_bench::{policy, scenario, score, simulation};
+use rhubarb_bench::{policy, results, scenario, simulation};
 
 struct Options {
     faults: bool,
@@ -44,11 +44,11 @@
 
 fn main() {
     let options = options().run();
-    print!("{}", score::head());
+    print!("{}", results::table_head());
     for scenario in scenarios(&options) {
         for policy in &policy::ALL {
-            let score = simulation::simulate(&scenario, policy);
-            print!("{}", score::line(&scenario, policy.name, &score));
+            let results = simulation::simulate(&scenario, policy);
+            print!("{}", results::table_row(&scenario, policy.name, &results));
         }
     }
 }
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/results.rs
@@ -10,7 +10,7 @@
 
 /// Results of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Score {
+pub struct Results {
     /// Requests a second that met both targets.
     pub goodput: f64,
     /// Requests a second that were answered whole.
@@ -22,13 +22,13 @@
     /// Refusals by reason.
     pub refused: collections::BTreeMap<&'static str, u64>,
     /// Worst caller's goodput, as a part of the mean.
-    pub worst: f64,
+    pub worst_caller: f64,
     /// Jain's fairness index of the callers' goodput.
     pub fairness: f64,
     /// Goodput of all callers but the first.
-    pub others: f64,
+    pub others_goodput: f64,
     /// Share of the requests of all callers but the first that met both targets.
-    pub others_part: f64,
+    pub others_share: f64,
     /// Reservations and streams still held when all requests were closed.
     pub held: u32,
 }
@@ -38,7 +38,7 @@
 pub(crate) struct Tally {
     prefilled: u64,
     wasted: u64,
-    score: Score,
+    results: Results,
     ledger: usage::Ledger,
     good: [u64; scenario::CALLERS],
     arrived: [u64; scenario::CALLERS],
@@ -53,7 +53,7 @@
         Tally {
             prefilled: 0,
             wasted: 0,
-            score: Score::default(),
+            results: Results::default(),
             ledger: usage::Ledger::new("bench".to_string(), 1, 0),
             good: [0; scenario::CALLERS],
             arrived: [0; scenario::CALLERS],
@@ -78,12 +78,12 @@
     pub(crate) fn waste(&mut self, caller: usize, reason: Reason, tokens: u32) {
         self.totals(caller).count_waste(reason, u64::from(tokens));
         self.wasted += u64::from(tokens);
-        *self.score.wasted_by.entry(reason.name()).or_default() += u64::from(tokens);
+        *self.results.wasted_by.entry(reason.name()).or_default() += u64::from(tokens);
     }
 
     pub(crate) fn refuse(&mut self, caller: usize, refusal: outcome::Refusal) {
         self.totals(caller).count_outcome(refusal.outcome, Some(refusal.reason));
-        *self.score.refused.entry(refusal.reason.name()).or_default() += 1;
+        *self.results.refused.entry(refusal.reason.name()).or_default() += 1;
     }
 
     pub(crate) fn answer(&mut self, request: &request::Request, fleet: &scenario::Fleet) {
@@ -98,7 +98,7 @@
         self.good[request.caller] += u64::from(is_good);
     }
 
-    pub(crate) fn finish(mut self, length: time::Duration, held: u32) -> (Score, usage::Ledger) {
+    pub(crate) fn finish(mut self, length: time::Duration, held: u32) -> (Results, usage::Ledger) {
         self.ledger.close(length.as_millis() as u64, true);
         let seconds = length.as_secs_f64();
         let good: Vec<f64> = self.good.iter().map(|count| *count as f64).collect();
@@ -106,44 +106,44 @@
         let squares: f64 = good.iter().map(|count| count * count).sum();
         let worst = good.iter().copied().fold(f64::INFINITY, f64::min);
         let count = scenario::CALLERS as f64;
-        self.score.goodput = sum / seconds;
-        self.score.answered = self.answered as f64 / seconds;
-        self.score.wasted = self.wasted as f64 / (self.prefilled as f64).max(1.0);
-        self.score.worst = if sum > 0.0 { worst * count / sum } else { 0.0 };
-        self.score.fairness = if squares > 0.0 { sum * sum / (count * squares) } else { 0.0 };
-        self.score.others = (sum - good[0]) / seconds;
+        self.results.goodput = sum / seconds;
+        self.results.answered = self.answered as f64 / seconds;
+        self.results.wasted = self.wasted as f64 / (self.prefilled as f64).max(1.0);
+        self.results.worst_caller = if sum > 0.0 { worst * count / sum } else { 0.0 };
+        self.results.fairness = if squares > 0.0 { sum * sum / (count * squares) } else { 0.0 };
+        self.results.others_goodput = (sum - good[0]) / seconds;
         let others: u64 = self.arrived[1..].iter().sum();
-        self.score.others_part = (sum - good[0]) / (others as f64).max(1.0);
-        self.score.held = held;
-        (self.score, self.ledger)
+        self.results.others_share = (sum - good[0]) / (others as f64).max(1.0);
+        self.results.held = held;
+        (self.results, self.ledger)
     }
 }
 
 /// Head of the table.
-pub fn head() -> String {
+pub fn table_head() -> String {
     "| fleet | load | shape | fault | policy | goodput /s | others /s | answered /s | wasted % | worst | Jain \
      | refused | wasted by |\n|---|---:|---|---|---|---:|---:|---:|---:|---:|---:|---|---|\n"
         .to_string()
 }
 
 /// Line of the table.
-pub fn line(scenario: &scenario::Scenario, policy: &str, score: &Score) -> String {
+pub fn table_row(scenario: &scenario::Scenario, policy: &str, results: &Results) -> String {
     let mut text = format!(
         "| {} | {} | {:?} | {:?} | {policy} | {:.1} | {:.1} | {:.1} | {:.2} | {:.2} | {:.3} | ",
         scenario.fleet.name,
         scenario.load,
         scenario.shape,
         scenario.fault,
-        score.goodput,
-        score.others,
-        score.answered,
-        score.wasted * 100.0,
-        score.worst,
-        score.fairness,
+        results.goodput,
+        results.others_goodput,
+        results.answered,
+        results.wasted * 100.0,
+        results.worst_caller,
+        results.fairness,
     );
-    write_counts(&mut text, &score.refused);
+    write_counts(&mut text, &results.refused);
     text.push_str("| ");
-    write_counts(&mut text, &score.wasted_by);
+    write_counts(&mut text, &results.wasted_by);
     text.push_str("|\n");
     text
 }
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -6,7 +6,7 @@
     budget, fair_share, flow, ids, load, outcome, pool, prefill_time, slots, usage,
 };
 
-use crate::{engine, event, policy, random, request, scenario, score, server};
+use crate::{engine, event, policy, random, request, results, scenario, server};
 
 use event::{Event, LoadKey, Tag};
 use server::{Entry, Server, least_reported, make_pool};
@@ -37,11 +37,11 @@
     servers: Vec<Server>,
     entries: Vec<Entry>,
     requests: Vec<request::Request>,
-    tally: score::Tally,
+    tally: results::Tally,
 }
 
 /// Runs one cell of the table.
-pub fn simulate(scenario: &scenario::Scenario, policy: &policy::Policy) -> score::Score {
+pub fn simulate(scenario: &scenario::Scenario, policy: &policy::Policy) -> results::Results {
     simulate_with_usage(scenario, policy).0
 }
 
@@ -49,7 +49,7 @@
 pub fn simulate_with_usage(
     scenario: &scenario::Scenario,
     policy: &policy::Policy,
-) -> (score::Score, usage::Ledger) {
+) -> (results::Results, usage::Ledger) {
     let mut simulation = Simulation::new(scenario, policy);
     simulation.prepare();
     let end = simulation.start + time::Duration::from_secs(scenario.seconds) + TAIL;
@@ -107,7 +107,7 @@
             entries: entries.collect(),
             servers,
             requests: Vec::new(),
-            tally: score::Tally::new(),
+            tally: results::Tally::new(),
         }
     }
 
--- a/crates/bench/tests/bounds.rs
+++ b/crates/bench/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! Bounds of the policy in force, from its stated targets, on a short form of the bench.
 
-use rhubarb_bench::{policy, scenario, score, simulation};
+use rhubarb_bench::{policy, results, scenario, simulation};
 
 /// Goodput above capacity, as a part of that at capacity.
 const NO_COLLAPSE: f64 = 0.95;
@@ -14,10 +14,10 @@
     scenario::Scenario { seconds: SECONDS, ..scenario::Scenario::new(fleet.clone(), load) }
 }
 
-fn latest(scenario: &scenario::Scenario) -> score::Score {
-    let score = simulation::simulate(scenario, &policy::LATEST);
-    assert_eq!(score.held, 0, "rooms still held: {scenario:?}");
-    score
+fn latest(scenario: &scenario::Scenario) -> results::Results {
+    let results = simulation::simulate(scenario, &policy::LATEST);
+    assert_eq!(results.held, 0, "rooms still held: {scenario:?}");
+    results
 }
 
 fn fleets() -> [scenario::Fleet; 2] {
@@ -29,10 +29,10 @@
     for fleet in fleets() {
         let capacity = latest(&scenario(&fleet, 1.0)).goodput;
         for load in [1.2, 2.0] {
-            let score = latest(&scenario(&fleet, load));
-            let goodput = score.goodput;
+            let results = latest(&scenario(&fleet, load));
+            let goodput = results.goodput;
             assert!(goodput >= NO_COLLAPSE * capacity, "{} {load}: {goodput}", fleet.name);
-            assert!(score.wasted < WASTE, "{} {load}: wasted {}", fleet.name, score.wasted);
+            assert!(results.wasted < WASTE, "{} {load}: wasted {}", fleet.name, results.wasted);
         }
     }
 }
@@ -50,9 +50,9 @@
 #[test]
 fn greedy_caller() {
     for fleet in fleets() {
-        let alone = latest(&scenario(&fleet, 0.9)).others_part;
+        let alone = latest(&scenario(&fleet, 0.9)).others_share;
         let greedy = scenario::Scenario { shape: scenario::Shape::Greedy, ..scenario(&fleet, 0.9) };
-        let beside = latest(&greedy).others_part;
+        let beside = latest(&greedy).others_share;
         assert!(beside >= OTHERS_KEEP * alone, "{}: {alone} {beside}", fleet.name);
     }
 }
