--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,69 +1,71 @@
-//! Policies that are compared: baselines, and the versions of our own.
+//! Routing policies to compare: two baselines, and the successive versions of our own.
 
 /// How servers are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// In turn.
+    /// Each server in turn.
     RoundRobin,
-    /// The one that reported the least load.
+    /// The server with the least reported load.
     LeastReported,
     /// By [`rhubarb_core::pool::Pool`].
     Pool,
 }
 
-/// A policy.
+/// Routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Name in the table.
     pub name: &'static str,
     /// How servers are chosen.
     pub choice: Choice,
-    /// Whether decode room is reserved before the prefill.
+    /// Whether a decode slot is reserved before the prefill.
     pub reserve: bool,
-    /// Whether prompts prefer the server that has their prefix.
+    /// Whether prompts prefer the server that caches their prefix.
     pub affinity: bool,
-    /// Whether prompts wait in the order in which they have to start, and are refused after it.
-    pub due: bool,
-    /// Whether prefill servers are compared by the work before them.
-    pub work: bool,
-    /// Whether evicted results count against their source, silent servers are suspect, and
-    /// repeated ejections grow.
-    pub judge: bool,
-    /// Whether callers above their fair share get only what others leave free.
-    pub fair: bool,
+    /// Whether queued prompts start in the order of their latest start, and are refused after it.
+    pub deadline_order: bool,
+    /// Whether prefill servers are compared by their pending work.
+    pub by_work: bool,
+    /// Whether evicted results count as failures of their source, servers without recent reports
+    /// are suspect, and consecutive ejections double in length.
+    pub health_checks: bool,
+    /// Whether callers above their fair share only get spare slots.
+    pub fair_share: bool,
 }
 
-/// Round robin without reservation.
+/// Round robin without reservations.
 pub const ROUND_ROBIN: Policy = Policy {
     name: "round-robin",
     choice: Choice::RoundRobin,
     reserve: false,
     affinity: false,
-    due: false,
-    work: false,
-    judge: false,
-    fair: false,
+    deadline_order: false,
+    by_work: false,
+    health_checks: false,
+    fair_share: false,
 };
 
-/// Least reported load without reservation.
+/// Least reported load without reservations.
 pub const LEAST_REPORTED: Policy =
     Policy { name: "least-reported", choice: Choice::LeastReported, ..ROUND_ROBIN };
 
-/// Reservation of decode room, choice of two by corrected load, prefix affinity.
+/// Reserves decode slots, chooses the better of two servers by estimated load, and prefers the
+/// server that caches the prefix.
 pub const V1: Policy =
     Policy { name: "v1", choice: Choice::Pool, reserve: true, affinity: true, ..ROUND_ROBIN };
 
-/// Prompts start in the order of their targets, or are refused.
-pub const V2: Policy = Policy { name: "v2", due: true, ..V1 };
+/// Starts prompts in the order of their latest start, or refuses them.
+pub const V2: Policy = Policy { name: "v2", deadline_order: true, ..V1 };
 
-/// Prefill servers are compared by the work before them.
-pub const V3: Policy = Policy { name: "v3", work: true, ..V2 };
+/// Compares prefill servers by their pending work.
+pub const V3: Policy = Policy { name: "v3", by_work: true, ..V2 };
 
-/// Servers are judged by what came of their work, and by their silence.
-pub const V4: Policy = Policy { name: "v4", judge: true, ..V3 };
+/// Counts evicted results as failures of their source, suspects servers without recent load
+/// reports, and doubles the length of consecutive ejections.
+pub const V4: Policy = Policy { name: "v4", health_checks: true, ..V3 };
 
-/// Callers above their fair share get only what others leave free.
-pub const V5: Policy = Policy { name: "v5", fair: true, ..V4 };
+/// Gives callers above their fair share only spare slots.
+pub const V5: Policy = Policy { name: "v5", fair_share: true, ..V4 };
 
 /// The policy in force.
 pub const LATEST: Policy = V5;
--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -49,8 +49,8 @@
 /// Pool of an entry in `zone`.
 pub(crate) fn make_pool(zone: usize, servers: &[Server], policy: &policy::Policy) -> pool::Pool {
     let tuning = pool::Tuning {
-        suspect_after: policy.judge.then_some(SUSPECT_AFTER),
-        backoff: policy.judge,
+        suspect_after: policy.health_checks.then_some(SUSPECT_AFTER),
+        backoff: policy.health_checks,
     };
     let mut pool = pool::Pool::new(format!("zone-{zone}"));
     pool.set_tuning(tuning);
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -174,7 +174,7 @@
     fn arrive(&mut self, number: usize) {
         let request = &mut self.requests[number];
         self.tally.arrive(request.caller);
-        if self.policy.fair {
+        if self.policy.fair_share {
             let caller = format!("caller-{}", request.caller);
             request.share = self.entries[request.entry].fair.admit(&caller, self.now);
         }
@@ -269,7 +269,7 @@
             policy::Choice::Pool => {
                 let affinity = (is_prefill && self.policy.affinity)
                     .then(|| ids::digest(&[&request.prefix.to_be_bytes()]));
-                let by_work = is_prefill && self.policy.work;
+                let by_work = is_prefill && self.policy.by_work;
                 let tried = request.flow.tried();
                 let wish = pool::Criteria { tried, affinity, random, by_work };
                 pool.pick(wish, self.now)?
@@ -288,7 +288,7 @@
         if self.requests[tag.request].attempt != tag.attempt || self.requests[tag.request].closed {
             return;
         }
-        let end = if self.policy.judge {
+        let end = if self.policy.health_checks {
             pool::ServerOutcome::Unknown
         } else {
             pool::ServerOutcome::Success
@@ -307,7 +307,7 @@
     }
 
     fn judge_source(&mut self, number: usize, end: pool::ServerOutcome) {
-        if !self.policy.judge {
+        if !self.policy.health_checks {
             return;
         }
         let request = &self.requests[number];
@@ -446,7 +446,7 @@
         let request = &self.requests[tag.request];
         let state = &mut self.servers[server];
         let work = state.pace.estimate(request.prompt);
-        let start_by = if self.policy.due {
+        let start_by = if self.policy.deadline_order {
             let fleet = &self.scenario.fleet;
             let first_token = request.arrived + fleet.first_token;
             let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
@@ -454,7 +454,7 @@
         } else {
             request.arrived + self.scenario.fleet.deadline
         };
-        let work = if self.policy.work { work } else { time::Duration::ZERO };
+        let work = if self.policy.by_work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair_share::Share::Excess {
             state.rooms.request_spare(tag.run(), work, self.now)
         } else {
