--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -91,7 +91,7 @@
     let prefill = PREFILL_BASE + PREFILL_TOKEN.mul_f64(request::MEAN_PROMPT);
     let step = STEP + STEP_EACH * ROOMS;
     let decode = step.mul_f64(request::MEAN_OUTPUT);
-    let prefills = fleet.prefills as f64 / prefill.as_secs_f64();
-    let decodes = (fleet.decodes as u32 * ROOMS) as f64 / decode.as_secs_f64();
+    let prefills = fleet.prefill_servers as f64 / prefill.as_secs_f64();
+    let decodes = (fleet.decode_servers as u32 * ROOMS) as f64 / decode.as_secs_f64();
     prefills.min(decodes)
 }
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,41 +1,41 @@
-//! Fleets, loads and faults that are measured.
+//! Fleets, loads and faults to simulate.
 
 use std::time;
 
-/// A fleet and what its users want.
+/// Servers of a service, and its latency targets.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Name in the table.
     pub name: &'static str,
-    /// Prefill servers.
-    pub prefills: usize,
-    /// Decode servers.
-    pub decodes: usize,
+    /// Number of prefill servers.
+    pub prefill_servers: usize,
+    /// Number of decode servers.
+    pub decode_servers: usize,
     /// Target for the time to the first token.
     pub first_token: time::Duration,
     /// Target for the mean time between tokens.
     pub between_tokens: time::Duration,
-    /// Longest wait for decode room.
+    /// Longest wait for a decode slot.
     pub max_wait: time::Duration,
-    /// Longest time of a request.
+    /// Longest duration of a request.
     pub deadline: time::Duration,
     /// One-way delay between a caller and an entry.
     pub caller_delay: time::Duration,
 }
 
-/// Zones of a fleet; each has an entry.
+/// Number of availability zones of a fleet; each has one entry.
 pub const ZONES: usize = 3;
 /// One-way delay between two processes.
-pub const HOP: time::Duration = time::Duration::from_micros(500);
-/// Callers of a fleet.
+pub const HOP_DELAY: time::Duration = time::Duration::from_micros(500);
+/// Number of callers of a fleet.
 pub const CALLERS: usize = 20;
 
-/// Laine Sahel's clip-models: patient and costly.
+/// Laine Sahel's clip-models: loose latency targets and costly requests.
 pub fn laine_sahel() -> Fleet {
     Fleet {
         name: "laine-sahel",
-        prefills: 6,
-        decodes: 12,
+        prefill_servers: 6,
+        decode_servers: 12,
         first_token: time::Duration::from_millis(2500),
         between_tokens: time::Duration::from_millis(100),
         max_wait: time::Duration::from_millis(2000),
@@ -44,12 +44,12 @@
     }
 }
 
-/// Compás Náutico's rating-llm: impatient.
+/// Compás Náutico's rating-llm: tight latency targets.
 pub fn compas_nautico() -> Fleet {
     Fleet {
         name: "compas-nautico",
-        prefills: 4,
-        decodes: 8,
+        prefill_servers: 4,
+        decode_servers: 8,
         first_token: time::Duration::from_millis(460),
         between_tokens: time::Duration::from_millis(74),
         max_wait: time::Duration::from_millis(300),
@@ -61,36 +61,36 @@
 /// Shape of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// The same rate all the time.
+    /// Constant rate.
     Steady,
-    /// Twice the rate in one second of four, and less in the others.
+    /// Twice the rate in one second of four, and two thirds of it in the others.
     Burst,
-    /// One caller sends ten times its share, in addition.
+    /// Constant rate; one caller sends ten times its share, and the others send theirs.
     Greedy,
 }
 
-/// What goes wrong.
+/// Injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A decode server dies for good.
+    /// A decode server crashes and does not restart.
     DecodeDies,
-    /// A decode server does not move for 10 s.
+    /// A decode server is frozen for 10 s.
     Freeze,
-    /// All servers of a zone are silent for 10 s.
+    /// All servers of an availability zone are unresponsive for 10 s.
     ZoneSilent,
     /// The link of a prefill server stalls for 10 s.
     LinkStalls,
     /// A decode server runs at a third of its speed.
     SlowEngine,
-    /// Load reports come 3 s late.
+    /// Load reports are delayed by 3 s.
     LateReports,
-    /// 30 % of the callers leave within 3 s.
+    /// 30 % of the requests are cancelled by their callers within 3 s.
     Cancels,
 }
 
-/// All that goes wrong.
+/// All faults.
 pub const FAULTS: [Fault; 7] = [
     Fault::DecodeDies,
     Fault::Freeze,
@@ -101,25 +101,25 @@
     Fault::Cancels,
 ];
 
-/// One cell of the table.
+/// Fleet, load and fault of one simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Fleet.
+    /// Simulated fleet.
     pub fleet: Fleet,
-    /// Load as a multiple of what the engines can carry.
+    /// Request rate as a multiple of the capacity of the engines.
     pub load: f64,
     /// Shape of the load.
     pub shape: Shape,
-    /// Fault, from a third of the time on.
+    /// Injected fault; faults of servers and links start after a third of the time.
     pub fault: Fault,
-    /// Length in seconds.
+    /// Time in which requests arrive, in seconds.
     pub seconds: u64,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// Makes a steady run without faults.
+    /// Makes a scenario of 30 s with constant load and no fault.
     pub fn new(fleet: Fleet, load: f64) -> Scenario {
         Scenario { fleet, load, shape: Shape::Steady, fault: Fault::None, seconds: 30, seed: 7 }
     }
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -73,8 +73,8 @@
     fn new(scenario: &'a scenario::Scenario, policy: &'a policy::Policy) -> Simulation<'a> {
         let start = time::Instant::now();
         let fleet = &scenario.fleet;
-        let servers = (0..fleet.prefills + fleet.decodes).map(|number| {
-            let is_prefill = number < fleet.prefills;
+        let servers = (0..fleet.prefill_servers + fleet.decode_servers).map(|number| {
+            let is_prefill = number < fleet.prefill_servers;
             let rooms = if is_prefill { engine::PREFILLS } else { engine::ROOMS };
             Server {
                 name: format!("server-{number:02}"),
@@ -90,8 +90,8 @@
         });
         let servers: Vec<_> = servers.collect();
         let entries = (0..scenario::ZONES).map(|zone| Entry {
-            prefills: make_pool(zone, &servers[..fleet.prefills], policy),
-            decodes: make_pool(zone, &servers[fleet.prefills..], policy),
+            prefills: make_pool(zone, &servers[..fleet.prefill_servers], policy),
+            decodes: make_pool(zone, &servers[fleet.prefill_servers..], policy),
             budget: budget::RetryBudget::default(),
             fair: fair_share::FairShare::default(),
             turn: zone,
@@ -223,7 +223,7 @@
         match self.choose(number, false) {
             Some(server) => {
                 self.requests[number].decode = Some(server);
-                self.push(scenario::HOP, Event::AskRoom { tag, server });
+                self.push(scenario::HOP_DELAY, Event::AskRoom { tag, server });
             }
             None => self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO),
         }
@@ -234,7 +234,7 @@
         match self.choose(number, true) {
             Some(server) => {
                 self.requests[number].prefill = Some(server);
-                self.push(scenario::HOP, Event::AskPrefill { tag, server });
+                self.push(scenario::HOP_DELAY, Event::AskPrefill { tag, server });
             }
             None => self.refuse_later(tag, true, Reason::NoServer, false, time::Duration::ZERO),
         }
@@ -249,15 +249,18 @@
             return self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO);
         };
         let done_ms = (self.now - self.start).as_millis() as u64;
-        self.push(scenario::HOP, Event::AskDecode { tag, server, done_ms });
+        self.push(scenario::HOP_DELAY, Event::AskDecode { tag, server, done_ms });
     }
 
     fn choose(&mut self, number: usize, is_prefill: bool) -> Option<usize> {
         let random = self.random.next();
         let request = &self.requests[number];
         let fleet = &self.scenario.fleet;
-        let (first, count) =
-            if is_prefill { (0, fleet.prefills) } else { (fleet.prefills, fleet.decodes) };
+        let (first, count) = if is_prefill {
+            (0, fleet.prefill_servers)
+        } else {
+            (fleet.prefill_servers, fleet.decode_servers)
+        };
         let entry = &mut self.entries[request.entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
         let name = match self.policy.choice {
@@ -342,7 +345,7 @@
         let tag = self.tag(number);
         let request = &self.requests[number];
         for server in [request.decode, request.prefill].into_iter().flatten() {
-            self.push(scenario::HOP, Event::Cancel { tag, server });
+            self.push(scenario::HOP_DELAY, Event::Cancel { tag, server });
         }
         self.note_end(number, false, pool::ServerOutcome::Unknown);
         self.note_end(number, true, pool::ServerOutcome::Unknown);
@@ -372,7 +375,7 @@
 
     fn report(&mut self, entry: usize, server: usize) {
         let is_late = self.scenario.fault == scenario::Fault::LateReports;
-        let delay = if is_late { scenario::HOP + LATE_BY } else { scenario::HOP };
+        let delay = if is_late { scenario::HOP_DELAY + LATE_BY } else { scenario::HOP_DELAY };
         if self.servers[server].is_there() {
             let load = self.servers[server].rooms.load(self.now);
             let load = (load.slots, load.held, load.waiting, load.queue_ms);
@@ -384,7 +387,7 @@
     fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
         let (rooms, held, waiting, queue_ms) = load;
         let load = load::Load { slots: rooms, held, waiting, queue_ms, leaving: false };
-        let is_prefill = server < self.scenario.fleet.prefills;
+        let is_prefill = server < self.scenario.fleet.prefill_servers;
         let entry = &mut self.entries[entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
         pool.update_load(&self.servers[server].name, load, self.now);
@@ -407,7 +410,7 @@
     fn reaches(&mut self, tag: Tag, server: usize, at_prefill: bool) -> bool {
         let (dead, silent) = (self.servers[server].dead, self.servers[server].silent);
         if dead {
-            self.refuse_later(tag, at_prefill, Reason::NoServer, false, scenario::HOP);
+            self.refuse_later(tag, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
         } else if silent {
             self.refuse_later(tag, at_prefill, Reason::NoServer, false, CONNECT_LIMIT);
         }
@@ -429,12 +432,12 @@
             rooms.request(tag.run(), wait_by, self.now)
         };
         match answer {
-            slots::Answer::Granted => self.push(scenario::HOP, Event::Granted { tag }),
+            slots::Answer::Granted => self.push(scenario::HOP_DELAY, Event::Granted { tag }),
             slots::Answer::Queued => {
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP);
+                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
@@ -466,7 +469,7 @@
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, true, refusal.reason, false, scenario::HOP);
+                self.refuse_later(tag, true, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
@@ -490,7 +493,7 @@
         let now = self.now;
         self.servers[server].rooms.release(tag.run(), now);
         self.grant(server);
-        self.push(scenario::HOP, Event::Prefilled { tag });
+        self.push(scenario::HOP_DELAY, Event::Prefilled { tag });
     }
 
     fn ask_decode(&mut self, tag: Tag, server: usize, done_ms: u64) {
@@ -501,7 +504,7 @@
         let now = self.now;
         if self.policy.reserve {
             if !self.servers[server].rooms.claim(tag.run()) {
-                return self.refuse_later(tag, false, Reason::TooLate, false, scenario::HOP);
+                return self.refuse_later(tag, false, Reason::TooLate, false, scenario::HOP_DELAY);
             }
             return self.transfer(tag, server, done);
         }
@@ -515,7 +518,7 @@
                 self.servers[server].waiting.insert(tag.run(), tag);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP);
+                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
@@ -526,7 +529,7 @@
         let ends = self.servers[source].engine.transfer(prompt, self.now);
         let evicted = done + engine::KEEP_RESULT;
         if ends > evicted {
-            let wait = evicted.saturating_duration_since(self.now) + scenario::HOP;
+            let wait = evicted.saturating_duration_since(self.now) + scenario::HOP_DELAY;
             self.servers[server].rooms.release(tag.run(), self.now);
             self.grant(server);
             return self.refuse_later(tag, false, Reason::Evicted, false, wait);
@@ -570,7 +573,7 @@
         for stream in ended {
             let tag = Tag { request: stream.request, attempt: stream.attempt };
             self.servers[server].rooms.release(tag.run(), self.now);
-            self.push(scenario::HOP, Event::Ended { tag });
+            self.push(scenario::HOP_DELAY, Event::Ended { tag });
         }
         self.grant(server);
         let step = self.servers[server].engine.step_time();
@@ -578,7 +581,7 @@
     }
 
     fn send_token(&mut self, stream: &engine::Stream) {
-        let at = self.now + scenario::HOP + self.scenario.fleet.caller_delay;
+        let at = self.now + scenario::HOP_DELAY + self.scenario.fleet.caller_delay;
         let request = &mut self.requests[stream.request];
         if request.attempt != stream.attempt || request.closed {
             return;
@@ -609,7 +612,7 @@
         state.waiting.remove(&tag.run());
         state.done_at.remove(&tag.run());
         // A prefill that has begun runs to its end.
-        if server >= self.scenario.fleet.prefills {
+        if server >= self.scenario.fleet.prefill_servers {
             state.rooms.release(tag.run(), now);
         }
         self.grant(server);
@@ -621,10 +624,10 @@
                 self.servers[server].rooms.release(run, self.now);
                 continue;
             };
-            if server < self.scenario.fleet.prefills {
+            if server < self.scenario.fleet.prefill_servers {
                 self.run_prefill(tag, server);
             } else if self.policy.reserve {
-                self.push(scenario::HOP, Event::Granted { tag });
+                self.push(scenario::HOP_DELAY, Event::Granted { tag });
             } else {
                 let done = self.servers[server].done_at[&run];
                 self.servers[server].rooms.claim(run);
@@ -637,8 +640,8 @@
         if self.servers[server].is_there() {
             while let Some((run, refusal)) = self.servers[server].rooms.next_expired(self.now) {
                 if let Some(tag) = self.servers[server].waiting.remove(&run) {
-                    let at_prefill = server < self.scenario.fleet.prefills;
-                    self.refuse_later(tag, at_prefill, refusal.reason, false, scenario::HOP);
+                    let at_prefill = server < self.scenario.fleet.prefill_servers;
+                    self.refuse_later(tag, at_prefill, refusal.reason, false, scenario::HOP_DELAY);
                 }
             }
             self.grant(server);
@@ -649,7 +652,7 @@
     // --- faults ---
 
     fn switch_fault(&mut self, starts: bool) {
-        let first_decode = self.scenario.fleet.prefills;
+        let first_decode = self.scenario.fleet.prefill_servers;
         match (self.scenario.fault, starts) {
             (scenario::Fault::DecodeDies, true) => {
                 self.servers[first_decode].dead = true;
