--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -75,7 +75,7 @@
         let fleet = &scenario.fleet;
         let servers = (0..fleet.prefill_servers + fleet.decode_servers).map(|number| {
             let is_prefill = number < fleet.prefill_servers;
-            let rooms = if is_prefill { engine::PREFILLS } else { engine::ROOMS };
+            let rooms = if is_prefill { engine::MAX_PREFILLS } else { engine::DECODE_SLOTS };
             Server {
                 name: format!("server-{number:02}"),
                 zone: number % scenario::ZONES,
@@ -509,7 +509,7 @@
             return self.transfer(tag, server, done);
         }
         self.servers[server].done_at.insert(tag.run(), done);
-        match self.servers[server].rooms.request(tag.run(), done + engine::KEEP_RESULT, now) {
+        match self.servers[server].rooms.request(tag.run(), done + engine::RESULT_LIFETIME, now) {
             slots::Answer::Granted => {
                 self.servers[server].rooms.claim(tag.run());
                 self.transfer(tag, server, done);
@@ -527,7 +527,7 @@
         let source = self.requests[tag.request].source;
         let prompt = self.requests[tag.request].prompt;
         let ends = self.servers[source].engine.transfer(prompt, self.now);
-        let evicted = done + engine::KEEP_RESULT;
+        let evicted = done + engine::RESULT_LIFETIME;
         if ends > evicted {
             let wait = evicted.saturating_duration_since(self.now) + scenario::HOP_DELAY;
             self.servers[server].rooms.release(tag.run(), self.now);
@@ -542,8 +542,8 @@
         if request.attempt != tag.attempt || request.closed || self.servers[server].dead {
             return;
         }
-        let left = request.output - request.sent;
-        let stream = engine::Stream { request: tag.request, attempt: tag.attempt, left };
+        let remaining = request.output - request.sent;
+        let stream = engine::Stream { request: tag.request, attempt: tag.attempt, remaining };
         let engine = &mut self.servers[server].engine;
         engine.streams.push(stream);
         if !engine.stepping {
@@ -564,11 +564,12 @@
         }
         let mut streams = std::mem::take(&mut state.engine.streams);
         for stream in &mut streams {
-            stream.left -= 1;
+            stream.remaining -= 1;
             self.send_token(stream);
         }
-        let ended: Vec<_> = streams.iter().filter(|stream| stream.left == 0).copied().collect();
-        streams.retain(|stream| stream.left > 0);
+        let ended: Vec<_> =
+            streams.iter().filter(|stream| stream.remaining == 0).copied().collect();
+        streams.retain(|stream| stream.remaining > 0);
         self.servers[server].engine.streams = streams;
         for stream in ended {
             let tag = Tag { request: stream.request, attempt: stream.attempt };
@@ -670,7 +671,7 @@
                 let until = self.now + FAULT_TIME;
                 self.servers[0].engine.stall_link(until);
             }
-            (scenario::Fault::SlowEngine, true) => self.servers[first_decode].engine.slow = 3,
+            (scenario::Fault::SlowEngine, true) => self.servers[first_decode].engine.slowdown = 3,
             _ => {}
         }
     }
