--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -62,9 +62,12 @@
         request: &request::Request,
         now: time::Instant,
     ) -> (time::Duration, time::Instant) {
-        let covered =
-            if self.touch_prefix(request.prefix) { request.prompt / PREFIX_DIVISOR } else { 0 };
-        let work = PREFILL_BASE + PREFILL_PER_TOKEN * (request.prompt - covered);
+        let covered = if self.touch_prefix(request.prefix) {
+            request.prompt_tokens / PREFIX_DIVISOR
+        } else {
+            0
+        };
+        let work = PREFILL_BASE + PREFILL_PER_TOKEN * (request.prompt_tokens - covered);
         let start = self.compute_free.map_or(now, |free| free.max(now));
         let work = work * self.slowdown.max(1);
         self.compute_free = Some(start + work);
@@ -100,9 +103,9 @@
 
 /// Requests per second that the engines of a fleet can complete.
 pub(crate) fn capacity(fleet: &scenario::Fleet) -> f64 {
-    let prefill = PREFILL_BASE + PREFILL_PER_TOKEN.mul_f64(request::MEAN_PROMPT);
+    let prefill = PREFILL_BASE + PREFILL_PER_TOKEN.mul_f64(request::MEAN_PROMPT_TOKENS);
     let step = STEP_BASE + STEP_PER_STREAM * DECODE_SLOTS;
-    let decode = step.mul_f64(request::MEAN_OUTPUT);
+    let decode = step.mul_f64(request::MEAN_OUTPUT_TOKENS);
     let prefill_rate = fleet.prefill_servers as f64 / prefill.as_secs_f64();
     let decode_rate = (fleet.decode_servers as u32 * DECODE_SLOTS) as f64 / decode.as_secs_f64();
     prefill_rate.min(decode_rate)
--- a/crates/bench/src/random.rs
+++ b/crates/bench/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers that are the same on every machine.
+//! Random numbers that depend only on the seed, not on the machine.
 
 /// SplitMix64 generator.
 #[derive(Clone, Debug)]
@@ -19,18 +19,18 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Number from 0 up to 1.
+    /// Uniformly distributed number from 0 to below 1.
     pub(crate) fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Time to the next of events that come at `rate` a second.
-    pub(crate) fn gap(&mut self, rate: f64) -> f64 {
+    /// Exponentially distributed time between events, in seconds, at a mean `rate` per second.
+    pub(crate) fn exponential(&mut self, rate: f64) -> f64 {
         -(1.0 - self.unit()).ln() / rate
     }
 
-    /// Number whose logarithm is evenly spread between those of `least` and `most`.
-    pub(crate) fn log_uniform(&mut self, least: f64, most: f64) -> f64 {
-        (least.ln() + self.unit() * (most / least).ln()).exp()
+    /// Log-uniformly distributed number from `min` to `max`.
+    pub(crate) fn log_uniform(&mut self, min: f64, max: f64) -> f64 {
+        (min.ln() + self.unit() * (max / min).ln()).exp()
     }
 }
--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -90,10 +90,10 @@
         self.answered += 1;
         self.totals(request.caller).count_outcome(outcome::Outcome::Answered, None);
         let (Some(first), Some(last)) = (request.first_at, request.last_at) else { return };
-        let first_time = first - request.arrived;
-        let between = (last - first) / request.sent.saturating_sub(1).max(1);
+        let first_time = first - request.arrived_at;
+        let between = (last - first) / request.sent_tokens.saturating_sub(1).max(1);
         let is_good = first_time <= fleet.first_token && between <= fleet.between_tokens;
-        let tokens = u64::from(request.sent);
+        let tokens = u64::from(request.sent_tokens);
         self.totals(request.caller).count_answer(first_time, between, tokens, is_good);
         self.good[request.caller] += u64::from(is_good);
     }
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -117,7 +117,7 @@
             let arrived = self.start + at;
             let request = request::draw(&mut self.random, caller, arrived, self.scenario.fault);
             let number = self.requests.len();
-            if let Some(leaves) = request.leaves {
+            if let Some(leaves) = request.cancelled_at {
                 self.push_at(leaves, Event::Leave(number));
             }
             self.requests.push(request);
@@ -222,7 +222,7 @@
         }
         match self.choose(number, false) {
             Some(server) => {
-                self.requests[number].decode = Some(server);
+                self.requests[number].decode_server = Some(server);
                 self.push(scenario::HOP_DELAY, Event::AskRoom { tag, server });
             }
             None => self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO),
@@ -233,7 +233,7 @@
         let tag = self.tag(number);
         match self.choose(number, true) {
             Some(server) => {
-                self.requests[number].prefill = Some(server);
+                self.requests[number].prefill_server = Some(server);
                 self.push(scenario::HOP_DELAY, Event::AskPrefill { tag, server });
             }
             None => self.refuse_later(tag, true, Reason::NoServer, false, time::Duration::ZERO),
@@ -242,10 +242,10 @@
 
     fn start_decode(&mut self, number: usize) {
         let tag = self.tag(number);
-        if self.requests[number].decode.is_none() {
-            self.requests[number].decode = self.choose(number, false);
+        if self.requests[number].decode_server.is_none() {
+            self.requests[number].decode_server = self.choose(number, false);
         }
-        let Some(server) = self.requests[number].decode else {
+        let Some(server) = self.requests[number].decode_server else {
             return self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO);
         };
         let done_ms = (self.now - self.start).as_millis() as u64;
@@ -279,7 +279,7 @@
             }
         };
         let work = if is_prefill {
-            prefill_time::PrefillTime::default().estimate(request.prompt)
+            prefill_time::PrefillTime::default().estimate(request.prompt_tokens)
         } else {
             time::Duration::ZERO
         };
@@ -302,7 +302,8 @@
 
     fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::ServerOutcome) {
         let request = &mut self.requests[number];
-        let server = if is_prefill { request.prefill.take() } else { request.decode.take() };
+        let server =
+            if is_prefill { request.prefill_server.take() } else { request.decode_server.take() };
         let Some(server) = server else { return };
         let entry = &mut self.entries[request.entry];
         let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
@@ -315,7 +316,7 @@
         }
         let request = &self.requests[number];
         let entry = &mut self.entries[request.entry];
-        entry.prefills.record_outcome(&self.servers[request.source].name, end, self.now);
+        entry.prefills.record_outcome(&self.servers[request.source_server].name, end, self.now);
     }
 
     fn refused(&mut self, tag: Tag, at_prefill: bool, reason: Reason, ran: bool) {
@@ -323,7 +324,7 @@
         if request.attempt != tag.attempt || request.closed {
             return;
         }
-        let server = if at_prefill { request.prefill } else { request.decode };
+        let server = if at_prefill { request.prefill_server } else { request.decode_server };
         let server = server.map(|server| self.servers[server].name.clone());
         let refusal = if ran {
             Refusal::unknown(reason, RETRY_SOON)
@@ -344,13 +345,13 @@
     fn release(&mut self, number: usize) {
         let tag = self.tag(number);
         let request = &self.requests[number];
-        for server in [request.decode, request.prefill].into_iter().flatten() {
+        for server in [request.decode_server, request.prefill_server].into_iter().flatten() {
             self.push(scenario::HOP_DELAY, Event::Cancel { tag, server });
         }
         self.note_end(number, false, pool::ServerOutcome::Unknown);
         self.note_end(number, true, pool::ServerOutcome::Unknown);
         let request = &mut self.requests[number];
-        let unused = std::mem::take(&mut request.unused);
+        let unused = std::mem::take(&mut request.unused_tokens);
         let reason = request.refusal.map_or(Reason::CallerGone, |refusal| refusal.reason);
         request.attempt += 1;
         if unused > 0 {
@@ -422,7 +423,7 @@
             return;
         }
         let request = &self.requests[tag.request];
-        let wait_by = (request.arrived + self.scenario.fleet.deadline)
+        let wait_by = (request.arrived_at + self.scenario.fleet.deadline)
             .min(self.now + self.scenario.fleet.max_wait);
         let is_excess = request.share == fair_share::Share::Excess;
         let rooms = &mut self.servers[server].rooms;
@@ -448,14 +449,14 @@
         }
         let request = &self.requests[tag.request];
         let state = &mut self.servers[server];
-        let work = state.pace.estimate(request.prompt);
+        let work = state.pace.estimate(request.prompt_tokens);
         let start_by = if self.policy.deadline_order {
             let fleet = &self.scenario.fleet;
-            let first_token = request.arrived + fleet.first_token;
+            let first_token = request.arrived_at + fleet.first_token;
             let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
             due.latest_start(work, self.now)
         } else {
-            request.arrived + self.scenario.fleet.deadline
+            request.arrived_at + self.scenario.fleet.deadline
         };
         let work = if self.policy.by_work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair_share::Share::Excess {
@@ -478,11 +479,11 @@
         let request = &mut self.requests[tag.request];
         let server_ref = &mut self.servers[server];
         server_ref.rooms.claim(tag.run());
-        self.tally.prefilled(request.caller, request.prompt);
-        request.unused = request.prompt;
-        request.source = server;
+        self.tally.prefilled(request.caller, request.prompt_tokens);
+        request.unused_tokens = request.prompt_tokens;
+        request.source_server = server;
         let (work, done) = server_ref.engine.prefill(request, self.now);
-        server_ref.pace.record(request.prompt, work);
+        server_ref.pace.record(request.prompt_tokens, work);
         self.push_at(done, Event::PrefillEnds { tag, server });
     }
 
@@ -524,8 +525,8 @@
     }
 
     fn transfer(&mut self, tag: Tag, server: usize, done: time::Instant) {
-        let source = self.requests[tag.request].source;
-        let prompt = self.requests[tag.request].prompt;
+        let source = self.requests[tag.request].source_server;
+        let prompt = self.requests[tag.request].prompt_tokens;
         let ends = self.servers[source].engine.transfer(prompt, self.now);
         let evicted = done + engine::RESULT_LIFETIME;
         if ends > evicted {
@@ -542,7 +543,7 @@
         if request.attempt != tag.attempt || request.closed || self.servers[server].dead {
             return;
         }
-        let remaining = request.output - request.sent;
+        let remaining = request.output_tokens - request.sent_tokens;
         let stream = engine::Stream { request: tag.request, attempt: tag.attempt, remaining };
         let engine = &mut self.servers[server].engine;
         engine.streams.push(stream);
@@ -588,8 +589,8 @@
             return;
         }
         request.flow.handle(&flow::Event::Streamed);
-        let is_first = std::mem::take(&mut request.unused) > 0;
-        request.sent += 1;
+        let is_first = std::mem::take(&mut request.unused_tokens) > 0;
+        request.sent_tokens += 1;
         request.first_at.get_or_insert(at);
         request.last_at = Some(at);
         if is_first {
@@ -687,8 +688,8 @@
     fn lose_contact(&mut self, server: usize) {
         for number in 0..self.requests.len() {
             let request = &self.requests[number];
-            let at_prefill = request.prefill == Some(server);
-            if !request.closed && (at_prefill || request.decode == Some(server)) {
+            let at_prefill = request.prefill_server == Some(server);
+            if !request.closed && (at_prefill || request.decode_server == Some(server)) {
                 let tag = self.tag(number);
                 let ran = !at_prefill;
                 self.refuse_later(tag, at_prefill, Reason::LostContact, ran, LOST_AFTER);
