--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers and entries on the virtual clock.
+//! Simulated servers and entries on the virtual clock.
 
 use std::{collections, time};
 
@@ -8,45 +8,51 @@
 
 use event::Tag;
 
-/// Three reports missed.
+/// Age of the last load report from which a server is suspect: three reports are missing.
 const SUSPECT_AFTER: time::Duration = time::Duration::from_millis(3200);
 
-/// A server with its agent.
+/// Server with its agent and engine.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) name: ids::ServerName,
     pub(crate) zone: usize,
-    pub(crate) rooms: slots::Slots,
+    pub(crate) slots: slots::Slots,
     pub(crate) engine: engine::Engine,
-    pub(crate) pace: prefill_time::PrefillTime,
+    pub(crate) prefill_time: prefill_time::PrefillTime,
+    /// Attempts that wait for a slot, by run.
     pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
-    // Prefill results or reservations by run.
-    pub(crate) done_at: collections::BTreeMap<ids::RunId, time::Instant>,
-    pub(crate) dead: bool,
-    pub(crate) silent: bool,
+    /// When the prefill of an attempt ended, by run; only used without reservations.
+    pub(crate) prefilled_at: collections::BTreeMap<ids::RunId, time::Instant>,
+    /// Whether it is down for good.
+    pub(crate) crashed: bool,
+    /// Whether it neither receives nor sends anything for now.
+    pub(crate) unresponsive: bool,
 }
 
-/// An entry.
+/// Entry with its pools of servers.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub(crate) prefills: pool::Pool,
-    pub(crate) decodes: pool::Pool,
-    pub(crate) budget: budget::RetryBudget,
-    pub(crate) fair: fair_share::FairShare,
-    pub(crate) turn: usize,
+    pub(crate) prefill_pool: pool::Pool,
+    pub(crate) decode_pool: pool::Pool,
+    pub(crate) retry_budget: budget::RetryBudget,
+    pub(crate) fair_share: fair_share::FairShare,
+    /// Counter of the round-robin choice.
+    pub(crate) next_server: usize,
 }
 
 impl Server {
-    pub(crate) fn held(&self, now: time::Instant) -> u32 {
-        self.rooms.load(now).held
+    /// Number of slots that are reserved or in use.
+    pub(crate) fn held_slots(&self, now: time::Instant) -> u32 {
+        self.slots.load(now).held
     }
 
-    pub(crate) fn is_there(&self) -> bool {
-        !self.dead && !self.silent
+    /// Whether the server receives and answers messages.
+    pub(crate) fn is_responsive(&self) -> bool {
+        !self.crashed && !self.unresponsive
     }
 }
 
-/// Pool of an entry in `zone`.
+/// Makes the pool of an entry in `zone`.
 pub(crate) fn make_pool(zone: usize, servers: &[Server], policy: &policy::Policy) -> pool::Pool {
     let tuning = pool::Tuning {
         suspect_after: policy.health_checks.then_some(SUSPECT_AFTER),
@@ -60,13 +66,13 @@
     pool
 }
 
-/// Server with the least reported load; equal ones in random order.
+/// Server with the least reported load; ties are broken by `random`.
 pub(crate) fn least_reported(pool: &pool::Pool, random: u64) -> Option<ids::ServerName> {
     let names: Vec<_> = pool.names().collect();
     let offset = random as usize % names.len().max(1);
-    let turned = names[offset..].iter().chain(&names[..offset]);
+    let rotated = names[offset..].iter().chain(&names[..offset]);
     let load = |name: &ids::ServerName| {
         pool.get(name).map_or(0, |server| server.load.held + server.load.waiting)
     };
-    turned.min_by_key(|name| load(name)).map(|name| name.to_string())
+    rotated.min_by_key(|name| load(name)).map(|name| name.to_string())
 }
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -20,7 +20,7 @@
 const QUEUE: usize = 64;
 /// Time until an entry gives up on a connection: the unanswered ping, then the grace.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(3300);
-/// Time until an attempt to reach a silent server fails.
+/// Time until an attempt to reach a unresponsive server fails.
 const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(1);
 const FAULT_TIME: time::Duration = time::Duration::from_secs(10);
 /// Time after the last arrival in which requests may end.
@@ -63,8 +63,8 @@
     let held: u32 = simulation
         .servers
         .iter()
-        .filter(|server| !server.dead)
-        .map(|server| server.held(end))
+        .filter(|server| !server.crashed)
+        .map(|server| server.held_slots(end))
         .sum();
     simulation.tally.finish(time::Duration::from_secs(scenario.seconds), held)
 }
@@ -75,26 +75,26 @@
         let fleet = &scenario.fleet;
         let servers = (0..fleet.prefill_servers + fleet.decode_servers).map(|number| {
             let is_prefill = number < fleet.prefill_servers;
-            let rooms = if is_prefill { engine::MAX_PREFILLS } else { engine::DECODE_SLOTS };
+            let slots = if is_prefill { engine::MAX_PREFILLS } else { engine::DECODE_SLOTS };
             Server {
                 name: format!("server-{number:02}"),
                 zone: number % scenario::ZONES,
-                rooms: slots::Slots::new(rooms, QUEUE, RESERVATION),
+                slots: slots::Slots::new(slots, QUEUE, RESERVATION),
                 engine: engine::Engine::default(),
-                pace: prefill_time::PrefillTime::default(),
+                prefill_time: prefill_time::PrefillTime::default(),
                 waiting: collections::BTreeMap::new(),
-                done_at: collections::BTreeMap::new(),
-                dead: false,
-                silent: false,
+                prefilled_at: collections::BTreeMap::new(),
+                crashed: false,
+                unresponsive: false,
             }
         });
         let servers: Vec<_> = servers.collect();
         let entries = (0..scenario::ZONES).map(|zone| Entry {
-            prefills: make_pool(zone, &servers[..fleet.prefill_servers], policy),
-            decodes: make_pool(zone, &servers[fleet.prefill_servers..], policy),
-            budget: budget::RetryBudget::default(),
-            fair: fair_share::FairShare::default(),
-            turn: zone,
+            prefill_pool: make_pool(zone, &servers[..fleet.prefill_servers], policy),
+            decode_pool: make_pool(zone, &servers[fleet.prefill_servers..], policy),
+            retry_budget: budget::RetryBudget::default(),
+            fair_share: fair_share::FairShare::default(),
+            next_server: zone,
         });
         Simulation {
             scenario,
@@ -176,7 +176,7 @@
         self.tally.arrive(request.caller);
         if self.policy.fair_share {
             let caller = format!("caller-{}", request.caller);
-            request.share = self.entries[request.entry].fair.admit(&caller, self.now);
+            request.share = self.entries[request.entry].fair_share.admit(&caller, self.now);
         }
         self.tell(number, &flow::Event::Begin);
     }
@@ -262,11 +262,11 @@
             (fleet.prefill_servers, fleet.decode_servers)
         };
         let entry = &mut self.entries[request.entry];
-        let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
+        let pool = if is_prefill { &mut entry.prefill_pool } else { &mut entry.decode_pool };
         let name = match self.policy.choice {
             policy::Choice::RoundRobin => {
-                entry.turn += 1;
-                return Some(first + entry.turn % count);
+                entry.next_server += 1;
+                return Some(first + entry.next_server % count);
             }
             policy::Choice::LeastReported => least_reported(pool, random)?,
             policy::Choice::Pool => {
@@ -306,7 +306,7 @@
             if is_prefill { request.prefill_server.take() } else { request.decode_server.take() };
         let Some(server) = server else { return };
         let entry = &mut self.entries[request.entry];
-        let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
+        let pool = if is_prefill { &mut entry.prefill_pool } else { &mut entry.decode_pool };
         pool.record_end(&self.servers[server].name, end, self.now);
     }
 
@@ -316,7 +316,7 @@
         }
         let request = &self.requests[number];
         let entry = &mut self.entries[request.entry];
-        entry.prefills.record_outcome(&self.servers[request.source_server].name, end, self.now);
+        entry.prefill_pool.record_outcome(&self.servers[request.source_server].name, end, self.now);
     }
 
     fn refused(&mut self, tag: Tag, at_prefill: bool, reason: Reason, ran: bool) {
@@ -333,7 +333,7 @@
         };
         let is_left = request.flow.may_retry(server.as_ref(), &refusal, self.now);
         let entry = request.entry;
-        let retry = is_left && self.entries[entry].budget.try_withdraw(reason);
+        let retry = is_left && self.entries[entry].retry_budget.try_withdraw(reason);
         self.requests[tag.request].refusal = Some(refusal);
         self.note_end(tag.request, at_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
@@ -364,7 +364,7 @@
         self.note_end(number, false, pool::ServerOutcome::Success);
         let request = &mut self.requests[number];
         request.closed = true;
-        self.entries[request.entry].budget.deposit();
+        self.entries[request.entry].retry_budget.deposit();
         self.tally.answer(request, &self.scenario.fleet);
     }
 
@@ -377,8 +377,8 @@
     fn report(&mut self, entry: usize, server: usize) {
         let is_late = self.scenario.fault == scenario::Fault::LateReports;
         let delay = if is_late { scenario::HOP_DELAY + LATE_BY } else { scenario::HOP_DELAY };
-        if self.servers[server].is_there() {
-            let load = self.servers[server].rooms.load(self.now);
+        if self.servers[server].is_responsive() {
+            let load = self.servers[server].slots.load(self.now);
             let load = (load.slots, load.held, load.waiting, load.queue_ms);
             self.push(delay, Event::Heard { entry, server, load });
         }
@@ -386,11 +386,11 @@
     }
 
     fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
-        let (rooms, held, waiting, queue_ms) = load;
-        let load = load::Load { slots: rooms, held, waiting, queue_ms, leaving: false };
+        let (slots, held, waiting, queue_ms) = load;
+        let load = load::Load { slots, held, waiting, queue_ms, leaving: false };
         let is_prefill = server < self.scenario.fleet.prefill_servers;
         let entry = &mut self.entries[entry];
-        let pool = if is_prefill { &mut entry.prefills } else { &mut entry.decodes };
+        let pool = if is_prefill { &mut entry.prefill_pool } else { &mut entry.decode_pool };
         pool.update_load(&self.servers[server].name, load, self.now);
     }
 
@@ -409,13 +409,14 @@
 
     // Whether an order reaches the server; else its entry finds out in time.
     fn reaches(&mut self, tag: Tag, server: usize, at_prefill: bool) -> bool {
-        let (dead, silent) = (self.servers[server].dead, self.servers[server].silent);
-        if dead {
+        let (crashed, unresponsive) =
+            (self.servers[server].crashed, self.servers[server].unresponsive);
+        if crashed {
             self.refuse_later(tag, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
-        } else if silent {
+        } else if unresponsive {
             self.refuse_later(tag, at_prefill, Reason::NoServer, false, CONNECT_LIMIT);
         }
-        !dead && !silent
+        !crashed && !unresponsive
     }
 
     fn ask_room(&mut self, tag: Tag, server: usize) {
@@ -426,11 +427,11 @@
         let wait_by = (request.arrived_at + self.scenario.fleet.deadline)
             .min(self.now + self.scenario.fleet.max_wait);
         let is_excess = request.share == fair_share::Share::Excess;
-        let rooms = &mut self.servers[server].rooms;
+        let slots = &mut self.servers[server].slots;
         let answer = if is_excess {
-            rooms.request_spare(tag.run(), time::Duration::ZERO, self.now)
+            slots.request_spare(tag.run(), time::Duration::ZERO, self.now)
         } else {
-            rooms.request(tag.run(), wait_by, self.now)
+            slots.request(tag.run(), wait_by, self.now)
         };
         match answer {
             slots::Answer::Granted => self.push(scenario::HOP_DELAY, Event::Granted { tag }),
@@ -449,7 +450,7 @@
         }
         let request = &self.requests[tag.request];
         let state = &mut self.servers[server];
-        let work = state.pace.estimate(request.prompt_tokens);
+        let work = state.prefill_time.estimate(request.prompt_tokens);
         let start_by = if self.policy.deadline_order {
             let fleet = &self.scenario.fleet;
             let first_token = request.arrived_at + fleet.first_token;
@@ -460,9 +461,9 @@
         };
         let work = if self.policy.by_work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair_share::Share::Excess {
-            state.rooms.request_spare(tag.run(), work, self.now)
+            state.slots.request_spare(tag.run(), work, self.now)
         } else {
-            state.rooms.request_work(tag.run(), work, start_by, self.now)
+            state.slots.request_work(tag.run(), work, start_by, self.now)
         };
         match answer {
             slots::Answer::Granted => self.run_prefill(tag, server),
@@ -477,22 +478,22 @@
 
     fn run_prefill(&mut self, tag: Tag, server: usize) {
         let request = &mut self.requests[tag.request];
-        let server_ref = &mut self.servers[server];
-        server_ref.rooms.claim(tag.run());
+        let state = &mut self.servers[server];
+        state.slots.claim(tag.run());
         self.tally.prefilled(request.caller, request.prompt_tokens);
         request.unused_tokens = request.prompt_tokens;
         request.source_server = server;
-        let (work, done) = server_ref.engine.prefill(request, self.now);
-        server_ref.pace.record(request.prompt_tokens, work);
+        let (work, done) = state.engine.prefill(request, self.now);
+        state.prefill_time.record(request.prompt_tokens, work);
         self.push_at(done, Event::PrefillEnds { tag, server });
     }
 
     fn prefill_ends(&mut self, tag: Tag, server: usize) {
-        if self.servers[server].silent {
+        if self.servers[server].unresponsive {
             return self.push(SWEEP, Event::PrefillEnds { tag, server });
         }
         let now = self.now;
-        self.servers[server].rooms.release(tag.run(), now);
+        self.servers[server].slots.release(tag.run(), now);
         self.grant(server);
         self.push(scenario::HOP_DELAY, Event::Prefilled { tag });
     }
@@ -504,15 +505,15 @@
         let done = self.start + time::Duration::from_millis(done_ms);
         let now = self.now;
         if self.policy.reserve {
-            if !self.servers[server].rooms.claim(tag.run()) {
+            if !self.servers[server].slots.claim(tag.run()) {
                 return self.refuse_later(tag, false, Reason::TooLate, false, scenario::HOP_DELAY);
             }
             return self.transfer(tag, server, done);
         }
-        self.servers[server].done_at.insert(tag.run(), done);
-        match self.servers[server].rooms.request(tag.run(), done + engine::RESULT_LIFETIME, now) {
+        self.servers[server].prefilled_at.insert(tag.run(), done);
+        match self.servers[server].slots.request(tag.run(), done + engine::RESULT_LIFETIME, now) {
             slots::Answer::Granted => {
-                self.servers[server].rooms.claim(tag.run());
+                self.servers[server].slots.claim(tag.run());
                 self.transfer(tag, server, done);
             }
             slots::Answer::Queued => {
@@ -531,7 +532,7 @@
         let evicted = done + engine::RESULT_LIFETIME;
         if ends > evicted {
             let wait = evicted.saturating_duration_since(self.now) + scenario::HOP_DELAY;
-            self.servers[server].rooms.release(tag.run(), self.now);
+            self.servers[server].slots.release(tag.run(), self.now);
             self.grant(server);
             return self.refuse_later(tag, false, Reason::Evicted, false, wait);
         }
@@ -540,7 +541,7 @@
 
     fn transfer_ends(&mut self, tag: Tag, server: usize) {
         let request = &self.requests[tag.request];
-        if request.attempt != tag.attempt || request.closed || self.servers[server].dead {
+        if request.attempt != tag.attempt || request.closed || self.servers[server].crashed {
             return;
         }
         let remaining = request.output_tokens - request.sent_tokens;
@@ -556,11 +557,11 @@
 
     fn engine_step(&mut self, server: usize) {
         let state = &mut self.servers[server];
-        if state.dead || state.engine.streams.is_empty() {
+        if state.crashed || state.engine.streams.is_empty() {
             state.engine.stepping = false;
             return;
         }
-        if state.silent {
+        if state.unresponsive {
             return self.push(SWEEP, Event::EngineStep { server });
         }
         let mut streams = std::mem::take(&mut state.engine.streams);
@@ -574,7 +575,7 @@
         self.servers[server].engine.streams = streams;
         for stream in ended {
             let tag = Tag { request: stream.request, attempt: stream.attempt };
-            self.servers[server].rooms.release(tag.run(), self.now);
+            self.servers[server].slots.release(tag.run(), self.now);
             self.push(scenario::HOP_DELAY, Event::Ended { tag });
         }
         self.grant(server);
@@ -601,10 +602,10 @@
     fn cancel(&mut self, tag: Tag, server: usize) {
         let now = self.now;
         let state = &mut self.servers[server];
-        if state.dead {
+        if state.crashed {
             return;
         }
-        if state.silent {
+        if state.unresponsive {
             return self.push(SWEEP, Event::Cancel { tag, server });
         }
         let is_meant = |stream: &engine::Stream| {
@@ -612,18 +613,18 @@
         };
         state.engine.streams.retain(|stream| !is_meant(stream));
         state.waiting.remove(&tag.run());
-        state.done_at.remove(&tag.run());
+        state.prefilled_at.remove(&tag.run());
         // A prefill that has begun runs to its end.
         if server >= self.scenario.fleet.prefill_servers {
-            state.rooms.release(tag.run(), now);
+            state.slots.release(tag.run(), now);
         }
         self.grant(server);
     }
 
     fn grant(&mut self, server: usize) {
-        while let Some(run) = self.servers[server].rooms.next_grant(self.now) {
+        while let Some(run) = self.servers[server].slots.next_grant(self.now) {
             let Some(tag) = self.servers[server].waiting.remove(&run) else {
-                self.servers[server].rooms.release(run, self.now);
+                self.servers[server].slots.release(run, self.now);
                 continue;
             };
             if server < self.scenario.fleet.prefill_servers {
@@ -631,16 +632,16 @@
             } else if self.policy.reserve {
                 self.push(scenario::HOP_DELAY, Event::Granted { tag });
             } else {
-                let done = self.servers[server].done_at[&run];
-                self.servers[server].rooms.claim(run);
+                let done = self.servers[server].prefilled_at[&run];
+                self.servers[server].slots.claim(run);
                 self.transfer(tag, server, done);
             }
         }
     }
 
     fn sweep(&mut self, server: usize) {
-        if self.servers[server].is_there() {
-            while let Some((run, refusal)) = self.servers[server].rooms.next_expired(self.now) {
+        if self.servers[server].is_responsive() {
+            while let Some((run, refusal)) = self.servers[server].slots.next_expired(self.now) {
                 if let Some(tag) = self.servers[server].waiting.remove(&run) {
                     let at_prefill = server < self.scenario.fleet.prefill_servers;
                     self.refuse_later(tag, at_prefill, refusal.reason, false, scenario::HOP_DELAY);
@@ -657,14 +658,14 @@
         let first_decode = self.scenario.fleet.prefill_servers;
         match (self.scenario.fault, starts) {
             (scenario::Fault::DecodeDies, true) => {
-                self.servers[first_decode].dead = true;
+                self.servers[first_decode].crashed = true;
                 self.lose_contact(first_decode);
             }
-            (scenario::Fault::Freeze, _) => self.set_silent(first_decode, starts),
+            (scenario::Fault::Freeze, _) => self.set_unresponsive(first_decode, starts),
             (scenario::Fault::ZoneSilent, _) => {
                 for server in 0..self.servers.len() {
                     if self.servers[server].zone == 0 {
-                        self.set_silent(server, starts);
+                        self.set_unresponsive(server, starts);
                     }
                 }
             }
@@ -677,9 +678,9 @@
         }
     }
 
-    fn set_silent(&mut self, server: usize, silent: bool) {
-        self.servers[server].silent = silent;
-        if silent {
+    fn set_unresponsive(&mut self, server: usize, unresponsive: bool) {
+        self.servers[server].unresponsive = unresponsive;
+        if unresponsive {
             self.lose_contact(server);
         }
     }
