--- a/crates/bench/src/event.rs
+++ b/crates/bench/src/event.rs
@@ -4,42 +4,62 @@
 
 use outcome::Reason;
 
-/// What happens at a moment.
+/// Event of the simulation; requests, entries and servers are given by index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
+    /// A request arrives at its entry.
     Arrive(usize),
-    Leave(usize),
-    AskRoom { tag: Tag, server: usize },
-    Granted { tag: Tag },
-    AskPrefill { tag: Tag, server: usize },
-    PrefillEnds { tag: Tag, server: usize },
-    Prefilled { tag: Tag },
-    AskDecode { tag: Tag, server: usize, done_ms: u64 },
-    TransferEnds { tag: Tag, server: usize },
+    /// The caller of a request closes its connection.
+    CallerLeaves(usize),
+    /// A decode server receives the request for a slot.
+    RequestSlot { id: AttemptId, server: usize },
+    /// The entry receives the grant of a slot.
+    Granted { id: AttemptId },
+    /// A prefill server receives a prompt.
+    RequestPrefill { id: AttemptId, server: usize },
+    /// The engine of a prefill server completes a prompt.
+    PrefillEnds { id: AttemptId, server: usize },
+    /// The entry learns that the prefill is complete.
+    Prefilled { id: AttemptId },
+    /// A decode server receives a request whose prefill was complete `prefilled_ms` after the start
+    /// of the simulation.
+    RequestDecode { id: AttemptId, server: usize, prefilled_ms: u64 },
+    /// A decode server has the whole prefill result.
+    TransferEnds { id: AttemptId, server: usize },
+    /// The engine of a decode server completes a step.
     EngineStep { server: usize },
-    Ended { tag: Tag },
-    Refused { tag: Tag, at_prefill: bool, reason: Reason, ran: bool },
-    Cancel { tag: Tag, server: usize },
-    Report { entry: usize, server: usize },
-    Heard { entry: usize, server: usize, load: LoadKey },
-    Sweep { server: usize },
+    /// The entry receives the end of an answer.
+    Ended { id: AttemptId },
+    /// The entry learns that an attempt was refused or failed; `ran` if it may have run.
+    Refused { id: AttemptId, at_prefill: bool, reason: Reason, ran: bool },
+    /// A server receives the cancellation of an attempt.
+    Cancel { id: AttemptId, server: usize },
+    /// A server sends its load report to an entry.
+    SendReport { entry: usize, server: usize },
+    /// An entry receives the load report of a server.
+    ReportReceived { entry: usize, server: usize, load: LoadTuple },
+    /// A server refuses the attempts that waited too long.
+    ExpireWaits { server: usize },
+    /// The fault of the scenario starts.
     FaultStarts,
+    /// The fault of the scenario ends, if it does.
     FaultEnds,
 }
 
-// Load in an ordered form, since events are ordered.
-pub(crate) type LoadKey = (u32, u32, u32, u32);
+/// Slots, held, waiting and queue time in milliseconds of a load report. Events are ordered and
+/// [`rhubarb_core::load::Load`] is not, so they hold a tuple.
+pub(crate) type LoadTuple = (u32, u32, u32, u32);
 
-/// A request and its attempt.
+/// Request and number of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Tag {
+pub(crate) struct AttemptId {
     pub(crate) request: usize,
     pub(crate) attempt: u64,
 }
 
-impl Tag {
-    /// Id of the run.
-    pub(crate) fn run(self) -> ids::RunId {
+impl AttemptId {
+    /// Run id of the attempt.
+    pub(crate) fn run_id(self) -> ids::RunId {
         ids::run_id(self.request as u64, self.attempt)
     }
 }
--- a/crates/bench/src/server.rs
+++ b/crates/bench/src/server.rs
@@ -6,7 +6,7 @@
 
 use crate::{engine, event, policy};
 
-use event::Tag;
+use event::AttemptId;
 
 /// Age of the last load report from which a server is suspect: three reports are missing.
 const SUSPECT_AFTER: time::Duration = time::Duration::from_millis(3200);
@@ -20,7 +20,7 @@
     pub(crate) engine: engine::Engine,
     pub(crate) prefill_time: prefill_time::PrefillTime,
     /// Attempts that wait for a slot, by run.
-    pub(crate) waiting: collections::BTreeMap<ids::RunId, Tag>,
+    pub(crate) waiting: collections::BTreeMap<ids::RunId, AttemptId>,
     /// When the prefill of an attempt ended, by run; only used without reservations.
     pub(crate) prefilled_at: collections::BTreeMap<ids::RunId, time::Instant>,
     /// Whether it is down for good.
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop: entries, agents and engines on a virtual clock.
+//! Event loop that simulates entries, agents and engines on a virtual clock.
 
 use std::{cmp, collections, time};
 
@@ -8,29 +8,36 @@
 
 use crate::{engine, event, policy, random, request, results, scenario, server};
 
-use event::{Event, LoadKey, Tag};
+use event::{AttemptId, Event, LoadTuple};
 use server::{Entry, Server, least_reported, make_pool};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
+/// Time between the load reports of a server.
 const REPORT_PERIOD: time::Duration = time::Duration::from_secs(1);
-const LATE_BY: time::Duration = time::Duration::from_secs(3);
-const SWEEP: time::Duration = time::Duration::from_millis(20);
-const RESERVATION: time::Duration = time::Duration::from_secs(5);
-const QUEUE: usize = 64;
-/// Time until an entry gives up on a connection: the unanswered ping, then the grace.
+/// Additional delay of load reports under [`scenario::Fault::LateReports`].
+const REPORT_DELAY: time::Duration = time::Duration::from_secs(3);
+/// Time between checks for expired waits, and before an unresponsive server retries an event.
+const SWEEP_PERIOD: time::Duration = time::Duration::from_millis(20);
+/// Time after which an unused reservation expires.
+const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Most attempts that wait for a slot of one server.
+const MAX_WAITING: usize = 64;
+/// Time until an entry closes a connection: the timeout of a ping, then the grace period.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(3300);
-/// Time until an attempt to reach a unresponsive server fails.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(1);
-const FAULT_TIME: time::Duration = time::Duration::from_secs(10);
-/// Time after the last arrival in which requests may end.
-const TAIL: time::Duration = time::Duration::from_secs(40);
+/// Time until connecting to an unresponsive server fails.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// Duration of the faults that end.
+const FAULT_DURATION: time::Duration = time::Duration::from_secs(10);
+/// Time after the last arrival in which open requests can complete.
+const COOLDOWN: time::Duration = time::Duration::from_secs(40);
 
 struct Simulation<'a> {
     scenario: &'a scenario::Scenario,
     policy: &'a policy::Policy,
     start: time::Instant,
     now: time::Instant,
+    // Events by time; the sequence number keeps simultaneous ones in the order of their scheduling.
     queue: collections::BinaryHeap<cmp::Reverse<(time::Instant, u64, Event)>>,
     seq: u64,
     random: random::Random,
@@ -40,19 +47,19 @@
     tally: results::Tally,
 }
 
-/// Runs one cell of the table.
+/// Simulates a scenario with a policy.
 pub fn simulate(scenario: &scenario::Scenario, policy: &policy::Policy) -> results::Results {
     simulate_with_usage(scenario, policy).0
 }
 
-/// Runs one cell of the table, and returns the usage that an entry would have recorded too.
+/// Simulates a scenario with a policy; also returns the usage that an entry would have recorded.
 pub fn simulate_with_usage(
     scenario: &scenario::Scenario,
     policy: &policy::Policy,
 ) -> (results::Results, usage::Ledger) {
     let mut simulation = Simulation::new(scenario, policy);
     simulation.prepare();
-    let end = simulation.start + time::Duration::from_secs(scenario.seconds) + TAIL;
+    let end = simulation.start + time::Duration::from_secs(scenario.seconds) + COOLDOWN;
     while let Some(cmp::Reverse((at, _, event))) = simulation.queue.pop() {
         if at > end {
             break;
@@ -79,7 +86,7 @@
             Server {
                 name: format!("server-{number:02}"),
                 zone: number % scenario::ZONES,
-                slots: slots::Slots::new(slots, QUEUE, RESERVATION),
+                slots: slots::Slots::new(slots, MAX_WAITING, RESERVATION_TIMEOUT),
                 engine: engine::Engine::default(),
                 prefill_time: prefill_time::PrefillTime::default(),
                 waiting: collections::BTreeMap::new(),
@@ -111,59 +118,64 @@
         }
     }
 
+    // Schedules all requests, the first periodic events, and the fault.
     fn prepare(&mut self) {
         let rate = engine::capacity(&self.scenario.fleet) * self.scenario.load;
         for (at, caller) in request::arrivals(&mut self.random, self.scenario, rate) {
-            let arrived = self.start + at;
-            let request = request::draw(&mut self.random, caller, arrived, self.scenario.fault);
+            let arrived_at = self.start + at;
+            let request = request::draw(&mut self.random, caller, arrived_at, self.scenario.fault);
             let number = self.requests.len();
-            if let Some(leaves) = request.cancelled_at {
-                self.push_at(leaves, Event::Leave(number));
+            if let Some(cancelled_at) = request.cancelled_at {
+                self.schedule_at(cancelled_at, Event::CallerLeaves(number));
             }
             self.requests.push(request);
-            self.push_at(arrived + self.scenario.fleet.caller_delay, Event::Arrive(number));
+            self.schedule_at(arrived_at + self.scenario.fleet.caller_delay, Event::Arrive(number));
         }
         for server in 0..self.servers.len() {
             for entry in 0..scenario::ZONES {
                 let offset = REPORT_PERIOD.mul_f64(self.random.unit());
-                self.push_at(self.start + offset, Event::Report { entry, server });
+                self.schedule_at(self.start + offset, Event::SendReport { entry, server });
             }
-            self.push_at(self.start, Event::Sweep { server });
+            self.schedule_at(self.start, Event::ExpireWaits { server });
         }
         let third = time::Duration::from_secs(self.scenario.seconds) / 3;
-        self.push_at(self.start + third, Event::FaultStarts);
-        self.push_at(self.start + third + FAULT_TIME, Event::FaultEnds);
+        self.schedule_at(self.start + third, Event::FaultStarts);
+        self.schedule_at(self.start + third + FAULT_DURATION, Event::FaultEnds);
     }
 
-    fn push_at(&mut self, at: time::Instant, event: Event) {
+    fn schedule_at(&mut self, at: time::Instant, event: Event) {
         self.seq += 1;
         self.queue.push(cmp::Reverse((at, self.seq, event)));
     }
 
-    fn push(&mut self, after: time::Duration, event: Event) {
-        self.push_at(self.now + after, event);
+    fn schedule(&mut self, after: time::Duration, event: Event) {
+        self.schedule_at(self.now + after, event);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::Leave(request) => self.tell(request, &flow::Event::CallerGone),
-            Event::AskRoom { tag, server } => self.ask_room(tag, server),
-            Event::Granted { tag } => self.tell_attempt(tag, &flow::Event::Reserved),
-            Event::AskPrefill { tag, server } => self.ask_prefill(tag, server),
-            Event::PrefillEnds { tag, server } => self.prefill_ends(tag, server),
-            Event::Prefilled { tag } => self.prefilled(tag),
-            Event::AskDecode { tag, server, done_ms } => self.ask_decode(tag, server, done_ms),
-            Event::TransferEnds { tag, server } => self.transfer_ends(tag, server),
+            Event::CallerLeaves(request) => self.update_request(request, &flow::Event::CallerGone),
+            Event::RequestSlot { id, server } => self.request_slot(id, server),
+            Event::Granted { id } => self.update_attempt(id, &flow::Event::Reserved),
+            Event::RequestPrefill { id, server } => self.request_prefill(id, server),
+            Event::PrefillEnds { id, server } => self.prefill_ends(id, server),
+            Event::Prefilled { id } => self.handle_prefilled(id),
+            Event::RequestDecode { id, server, prefilled_ms } => {
+                self.request_decode(id, server, prefilled_ms)
+            }
+            Event::TransferEnds { id, server } => self.transfer_ends(id, server),
             Event::EngineStep { server } => self.engine_step(server),
-            Event::Ended { tag } => self.tell_attempt(tag, &flow::Event::Ended),
-            Event::Refused { tag, at_prefill, reason, ran } => {
-                self.refused(tag, at_prefill, reason, ran);
+            Event::Ended { id } => self.update_attempt(id, &flow::Event::Ended),
+            Event::Refused { id, at_prefill, reason, ran } => {
+                self.handle_refusal(id, at_prefill, reason, ran);
+            }
+            Event::Cancel { id, server } => self.cancel(id, server),
+            Event::SendReport { entry, server } => self.send_report(entry, server),
+            Event::ReportReceived { entry, server, load } => {
+                self.receive_report(entry, server, load)
             }
-            Event::Cancel { tag, server } => self.cancel(tag, server),
-            Event::Report { entry, server } => self.report(entry, server),
-            Event::Heard { entry, server, load } => self.heard(entry, server, load),
-            Event::Sweep { server } => self.sweep(server),
+            Event::ExpireWaits { server } => self.expire_waits(server),
             Event::FaultStarts => self.switch_fault(true),
             Event::FaultEnds => self.switch_fault(false),
         }
@@ -178,26 +190,27 @@
             let caller = format!("caller-{}", request.caller);
             request.share = self.entries[request.entry].fair_share.admit(&caller, self.now);
         }
-        self.tell(number, &flow::Event::Begin);
+        self.update_request(number, &flow::Event::Begin);
     }
 
-    fn tell_attempt(&mut self, tag: Tag, event: &flow::Event) {
-        if self.requests[tag.request].attempt == tag.attempt {
-            self.tell(tag.request, event);
+    // Updates the request of an attempt, unless a later attempt has begun.
+    fn update_attempt(&mut self, id: AttemptId, event: &flow::Event) {
+        if self.requests[id.request].attempt == id.attempt {
+            self.update_request(id.request, event);
         }
     }
 
-    fn tell(&mut self, number: usize, event: &flow::Event) {
+    fn update_request(&mut self, number: usize, event: &flow::Event) {
         if self.requests[number].closed {
             return;
         }
         self.requests[number].flow.handle(event);
         while let Some(step) = self.requests[number].flow.next_step() {
-            self.take_step(number, step);
+            self.execute_step(number, step);
         }
     }
 
-    fn take_step(&mut self, number: usize, step: flow::Step) {
+    fn execute_step(&mut self, number: usize, step: flow::Step) {
         match step {
             flow::Step::Reserve => self.reserve(number),
             flow::Step::Prefill => self.start_prefill(number),
@@ -210,48 +223,49 @@
         }
     }
 
-    fn tag(&self, request: usize) -> Tag {
-        Tag { request, attempt: self.requests[request].attempt }
+    fn attempt_id(&self, request: usize) -> AttemptId {
+        AttemptId { request, attempt: self.requests[request].attempt }
     }
 
     fn reserve(&mut self, number: usize) {
         self.requests[number].attempt += 1;
-        let tag = self.tag(number);
+        let id = self.attempt_id(number);
         if !self.policy.reserve {
-            return self.push(time::Duration::ZERO, Event::Granted { tag });
+            return self.schedule(time::Duration::ZERO, Event::Granted { id });
         }
         match self.choose(number, false) {
             Some(server) => {
                 self.requests[number].decode_server = Some(server);
-                self.push(scenario::HOP_DELAY, Event::AskRoom { tag, server });
+                self.schedule(scenario::HOP_DELAY, Event::RequestSlot { id, server });
             }
-            None => self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO),
+            None => self.schedule_refusal(id, false, Reason::NoServer, false, time::Duration::ZERO),
         }
     }
 
     fn start_prefill(&mut self, number: usize) {
-        let tag = self.tag(number);
+        let id = self.attempt_id(number);
         match self.choose(number, true) {
             Some(server) => {
                 self.requests[number].prefill_server = Some(server);
-                self.push(scenario::HOP_DELAY, Event::AskPrefill { tag, server });
+                self.schedule(scenario::HOP_DELAY, Event::RequestPrefill { id, server });
             }
-            None => self.refuse_later(tag, true, Reason::NoServer, false, time::Duration::ZERO),
+            None => self.schedule_refusal(id, true, Reason::NoServer, false, time::Duration::ZERO),
         }
     }
 
     fn start_decode(&mut self, number: usize) {
-        let tag = self.tag(number);
+        let id = self.attempt_id(number);
         if self.requests[number].decode_server.is_none() {
             self.requests[number].decode_server = self.choose(number, false);
         }
         let Some(server) = self.requests[number].decode_server else {
-            return self.refuse_later(tag, false, Reason::NoServer, false, time::Duration::ZERO);
+            return self.schedule_refusal(id, false, Reason::NoServer, false, time::Duration::ZERO);
         };
-        let done_ms = (self.now - self.start).as_millis() as u64;
-        self.push(scenario::HOP_DELAY, Event::AskDecode { tag, server, done_ms });
+        let prefilled_ms = (self.now - self.start).as_millis() as u64;
+        self.schedule(scenario::HOP_DELAY, Event::RequestDecode { id, server, prefilled_ms });
     }
 
+    // Chooses a server, and records that the request is sent to it.
     fn choose(&mut self, number: usize, is_prefill: bool) -> Option<usize> {
         let random = self.random.next();
         let request = &self.requests[number];
@@ -274,8 +288,8 @@
                     .then(|| ids::digest(&[&request.prefix.to_be_bytes()]));
                 let by_work = is_prefill && self.policy.by_work;
                 let tried = request.flow.tried();
-                let wish = pool::Criteria { tried, affinity, random, by_work };
-                pool.pick(wish, self.now)?
+                let criteria = pool::Criteria { tried, affinity, random, by_work };
+                pool.pick(criteria, self.now)?
             }
         };
         let work = if is_prefill {
@@ -287,41 +301,46 @@
         self.servers.iter().position(|server| server.name == name)
     }
 
-    fn prefilled(&mut self, tag: Tag) {
-        if self.requests[tag.request].attempt != tag.attempt || self.requests[tag.request].closed {
+    fn handle_prefilled(&mut self, id: AttemptId) {
+        if self.requests[id.request].attempt != id.attempt || self.requests[id.request].closed {
             return;
         }
-        let end = if self.policy.health_checks {
+        let outcome = if self.policy.health_checks {
             pool::ServerOutcome::Unknown
         } else {
             pool::ServerOutcome::Success
         };
-        self.note_end(tag.request, true, end);
-        self.tell(tag.request, &flow::Event::Prefilled);
+        self.record_end(id.request, true, outcome);
+        self.update_request(id.request, &flow::Event::Prefilled);
     }
 
-    fn note_end(&mut self, number: usize, is_prefill: bool, end: pool::ServerOutcome) {
+    fn record_end(&mut self, number: usize, is_prefill: bool, outcome: pool::ServerOutcome) {
         let request = &mut self.requests[number];
         let server =
             if is_prefill { request.prefill_server.take() } else { request.decode_server.take() };
         let Some(server) = server else { return };
         let entry = &mut self.entries[request.entry];
         let pool = if is_prefill { &mut entry.prefill_pool } else { &mut entry.decode_pool };
-        pool.record_end(&self.servers[server].name, end, self.now);
+        pool.record_end(&self.servers[server].name, outcome, self.now);
     }
 
-    fn judge_source(&mut self, number: usize, end: pool::ServerOutcome) {
+    // Records whether the result of a prefill server was used.
+    fn record_source_outcome(&mut self, number: usize, outcome: pool::ServerOutcome) {
         if !self.policy.health_checks {
             return;
         }
         let request = &self.requests[number];
         let entry = &mut self.entries[request.entry];
-        entry.prefill_pool.record_outcome(&self.servers[request.source_server].name, end, self.now);
+        entry.prefill_pool.record_outcome(
+            &self.servers[request.source_server].name,
+            outcome,
+            self.now,
+        );
     }
 
-    fn refused(&mut self, tag: Tag, at_prefill: bool, reason: Reason, ran: bool) {
-        let request = &self.requests[tag.request];
-        if request.attempt != tag.attempt || request.closed {
+    fn handle_refusal(&mut self, id: AttemptId, at_prefill: bool, reason: Reason, ran: bool) {
+        let request = &self.requests[id.request];
+        if request.attempt != id.attempt || request.closed {
             return;
         }
         let server = if at_prefill { request.prefill_server } else { request.decode_server };
@@ -331,25 +350,25 @@
         } else {
             Refusal::not_run(reason, RETRY_SOON)
         };
-        let is_left = request.flow.may_retry(server.as_ref(), &refusal, self.now);
+        let may_retry = request.flow.may_retry(server.as_ref(), &refusal, self.now);
         let entry = request.entry;
-        let retry = is_left && self.entries[entry].retry_budget.try_withdraw(reason);
-        self.requests[tag.request].refusal = Some(refusal);
-        self.note_end(tag.request, at_prefill, pool::ServerOutcome::Failure(reason));
+        let retry = may_retry && self.entries[entry].retry_budget.try_withdraw(reason);
+        self.requests[id.request].refusal = Some(refusal);
+        self.record_end(id.request, at_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
-            self.judge_source(tag.request, pool::ServerOutcome::Failure(reason));
+            self.record_source_outcome(id.request, pool::ServerOutcome::Failure(reason));
         }
-        self.tell(tag.request, &flow::Event::Failed { server, refusal, retry });
+        self.update_request(id.request, &flow::Event::Failed { server, refusal, retry });
     }
 
     fn release(&mut self, number: usize) {
-        let tag = self.tag(number);
+        let id = self.attempt_id(number);
         let request = &self.requests[number];
         for server in [request.decode_server, request.prefill_server].into_iter().flatten() {
-            self.push(scenario::HOP_DELAY, Event::Cancel { tag, server });
+            self.schedule(scenario::HOP_DELAY, Event::Cancel { id, server });
         }
-        self.note_end(number, false, pool::ServerOutcome::Unknown);
-        self.note_end(number, true, pool::ServerOutcome::Unknown);
+        self.record_end(number, false, pool::ServerOutcome::Unknown);
+        self.record_end(number, true, pool::ServerOutcome::Unknown);
         let request = &mut self.requests[number];
         let unused = std::mem::take(&mut request.unused_tokens);
         let reason = request.refusal.map_or(Reason::CallerGone, |refusal| refusal.reason);
@@ -361,7 +380,7 @@
     }
 
     fn finish(&mut self, number: usize) {
-        self.note_end(number, false, pool::ServerOutcome::Success);
+        self.record_end(number, false, pool::ServerOutcome::Success);
         let request = &mut self.requests[number];
         request.closed = true;
         self.entries[request.entry].retry_budget.deposit();
@@ -374,18 +393,18 @@
         self.tally.refuse(caller, refusal);
     }
 
-    fn report(&mut self, entry: usize, server: usize) {
+    fn send_report(&mut self, entry: usize, server: usize) {
         let is_late = self.scenario.fault == scenario::Fault::LateReports;
-        let delay = if is_late { scenario::HOP_DELAY + LATE_BY } else { scenario::HOP_DELAY };
+        let delay = if is_late { scenario::HOP_DELAY + REPORT_DELAY } else { scenario::HOP_DELAY };
         if self.servers[server].is_responsive() {
             let load = self.servers[server].slots.load(self.now);
             let load = (load.slots, load.held, load.waiting, load.queue_ms);
-            self.push(delay, Event::Heard { entry, server, load });
+            self.schedule(delay, Event::ReportReceived { entry, server, load });
         }
-        self.push(REPORT_PERIOD, Event::Report { entry, server });
+        self.schedule(REPORT_PERIOD, Event::SendReport { entry, server });
     }
 
-    fn heard(&mut self, entry: usize, server: usize, load: LoadKey) {
+    fn receive_report(&mut self, entry: usize, server: usize, load: LoadTuple) {
         let (slots, held, waiting, queue_ms) = load;
         let load = load::Load { slots, held, waiting, queue_ms, leaving: false };
         let is_prefill = server < self.scenario.fleet.prefill_servers;
@@ -396,162 +415,172 @@
 
     // --- agents ---
 
-    fn refuse_later(
+    fn schedule_refusal(
         &mut self,
-        tag: Tag,
+        id: AttemptId,
         at_prefill: bool,
         reason: Reason,
         ran: bool,
         after: time::Duration,
     ) {
-        self.push(after, Event::Refused { tag, at_prefill, reason, ran });
+        self.schedule(after, Event::Refused { id, at_prefill, reason, ran });
     }
 
-    // Whether an order reaches the server; else its entry finds out in time.
-    fn reaches(&mut self, tag: Tag, server: usize, at_prefill: bool) -> bool {
+    // Whether a message reaches the server; otherwise schedules the failure at its entry.
+    fn check_reachable(&mut self, id: AttemptId, server: usize, at_prefill: bool) -> bool {
         let (crashed, unresponsive) =
             (self.servers[server].crashed, self.servers[server].unresponsive);
         if crashed {
-            self.refuse_later(tag, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
+            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
         } else if unresponsive {
-            self.refuse_later(tag, at_prefill, Reason::NoServer, false, CONNECT_LIMIT);
+            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, CONNECT_TIMEOUT);
         }
         !crashed && !unresponsive
     }
 
-    fn ask_room(&mut self, tag: Tag, server: usize) {
-        if !self.reaches(tag, server, false) {
+    fn request_slot(&mut self, id: AttemptId, server: usize) {
+        if !self.check_reachable(id, server, false) {
             return;
         }
-        let request = &self.requests[tag.request];
+        let request = &self.requests[id.request];
         let wait_by = (request.arrived_at + self.scenario.fleet.deadline)
             .min(self.now + self.scenario.fleet.max_wait);
         let is_excess = request.share == fair_share::Share::Excess;
         let slots = &mut self.servers[server].slots;
         let answer = if is_excess {
-            slots.request_spare(tag.run(), time::Duration::ZERO, self.now)
+            slots.request_spare(id.run_id(), time::Duration::ZERO, self.now)
         } else {
-            slots.request(tag.run(), wait_by, self.now)
+            slots.request(id.run_id(), wait_by, self.now)
         };
         match answer {
-            slots::Answer::Granted => self.push(scenario::HOP_DELAY, Event::Granted { tag }),
+            slots::Answer::Granted => self.schedule(scenario::HOP_DELAY, Event::Granted { id }),
             slots::Answer::Queued => {
-                self.servers[server].waiting.insert(tag.run(), tag);
+                self.servers[server].waiting.insert(id.run_id(), id);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP_DELAY);
+                self.schedule_refusal(id, false, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
 
-    fn ask_prefill(&mut self, tag: Tag, server: usize) {
-        if !self.reaches(tag, server, true) {
+    fn request_prefill(&mut self, id: AttemptId, server: usize) {
+        if !self.check_reachable(id, server, true) {
             return;
         }
-        let request = &self.requests[tag.request];
+        let request = &self.requests[id.request];
         let state = &mut self.servers[server];
         let work = state.prefill_time.estimate(request.prompt_tokens);
         let start_by = if self.policy.deadline_order {
             let fleet = &self.scenario.fleet;
             let first_token = request.arrived_at + fleet.first_token;
-            let due = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
-            due.latest_start(work, self.now)
+            let deadline = prefill_time::PromptDeadline { first_token, max_wait: fleet.max_wait };
+            deadline.latest_start(work, self.now)
         } else {
             request.arrived_at + self.scenario.fleet.deadline
         };
         let work = if self.policy.by_work { work } else { time::Duration::ZERO };
         let answer = if request.share == fair_share::Share::Excess {
-            state.slots.request_spare(tag.run(), work, self.now)
+            state.slots.request_spare(id.run_id(), work, self.now)
         } else {
-            state.slots.request_work(tag.run(), work, start_by, self.now)
+            state.slots.request_work(id.run_id(), work, start_by, self.now)
         };
         match answer {
-            slots::Answer::Granted => self.run_prefill(tag, server),
+            slots::Answer::Granted => self.run_prefill(id, server),
             slots::Answer::Queued => {
-                self.servers[server].waiting.insert(tag.run(), tag);
+                self.servers[server].waiting.insert(id.run_id(), id);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, true, refusal.reason, false, scenario::HOP_DELAY);
+                self.schedule_refusal(id, true, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
 
-    fn run_prefill(&mut self, tag: Tag, server: usize) {
-        let request = &mut self.requests[tag.request];
+    fn run_prefill(&mut self, id: AttemptId, server: usize) {
+        let request = &mut self.requests[id.request];
         let state = &mut self.servers[server];
-        state.slots.claim(tag.run());
+        state.slots.claim(id.run_id());
         self.tally.prefilled(request.caller, request.prompt_tokens);
         request.unused_tokens = request.prompt_tokens;
         request.source_server = server;
-        let (work, done) = state.engine.prefill(request, self.now);
+        let (work, ends_at) = state.engine.prefill(request, self.now);
         state.prefill_time.record(request.prompt_tokens, work);
-        self.push_at(done, Event::PrefillEnds { tag, server });
+        self.schedule_at(ends_at, Event::PrefillEnds { id, server });
     }
 
-    fn prefill_ends(&mut self, tag: Tag, server: usize) {
+    fn prefill_ends(&mut self, id: AttemptId, server: usize) {
         if self.servers[server].unresponsive {
-            return self.push(SWEEP, Event::PrefillEnds { tag, server });
+            return self.schedule(SWEEP_PERIOD, Event::PrefillEnds { id, server });
         }
         let now = self.now;
-        self.servers[server].slots.release(tag.run(), now);
+        self.servers[server].slots.release(id.run_id(), now);
         self.grant(server);
-        self.push(scenario::HOP_DELAY, Event::Prefilled { tag });
+        self.schedule(scenario::HOP_DELAY, Event::Prefilled { id });
     }
 
-    fn ask_decode(&mut self, tag: Tag, server: usize, done_ms: u64) {
-        if !self.reaches(tag, server, false) {
+    fn request_decode(&mut self, id: AttemptId, server: usize, prefilled_ms: u64) {
+        if !self.check_reachable(id, server, false) {
             return;
         }
-        let done = self.start + time::Duration::from_millis(done_ms);
+        let prefilled_at = self.start + time::Duration::from_millis(prefilled_ms);
         let now = self.now;
         if self.policy.reserve {
-            if !self.servers[server].slots.claim(tag.run()) {
-                return self.refuse_later(tag, false, Reason::TooLate, false, scenario::HOP_DELAY);
+            if !self.servers[server].slots.claim(id.run_id()) {
+                return self.schedule_refusal(
+                    id,
+                    false,
+                    Reason::TooLate,
+                    false,
+                    scenario::HOP_DELAY,
+                );
             }
-            return self.transfer(tag, server, done);
-        }
-        self.servers[server].prefilled_at.insert(tag.run(), done);
-        match self.servers[server].slots.request(tag.run(), done + engine::RESULT_LIFETIME, now) {
+            return self.transfer(id, server, prefilled_at);
+        }
+        self.servers[server].prefilled_at.insert(id.run_id(), prefilled_at);
+        match self.servers[server].slots.request(
+            id.run_id(),
+            prefilled_at + engine::RESULT_LIFETIME,
+            now,
+        ) {
             slots::Answer::Granted => {
-                self.servers[server].slots.claim(tag.run());
-                self.transfer(tag, server, done);
+                self.servers[server].slots.claim(id.run_id());
+                self.transfer(id, server, prefilled_at);
             }
             slots::Answer::Queued => {
-                self.servers[server].waiting.insert(tag.run(), tag);
+                self.servers[server].waiting.insert(id.run_id(), id);
             }
             slots::Answer::Refused(refusal) => {
-                self.refuse_later(tag, false, refusal.reason, false, scenario::HOP_DELAY);
+                self.schedule_refusal(id, false, refusal.reason, false, scenario::HOP_DELAY);
             }
         }
     }
 
-    fn transfer(&mut self, tag: Tag, server: usize, done: time::Instant) {
-        let source = self.requests[tag.request].source_server;
-        let prompt = self.requests[tag.request].prompt_tokens;
-        let ends = self.servers[source].engine.transfer(prompt, self.now);
-        let evicted = done + engine::RESULT_LIFETIME;
-        if ends > evicted {
-            let wait = evicted.saturating_duration_since(self.now) + scenario::HOP_DELAY;
-            self.servers[server].slots.release(tag.run(), self.now);
+    fn transfer(&mut self, id: AttemptId, server: usize, prefilled_at: time::Instant) {
+        let source = self.requests[id.request].source_server;
+        let prompt = self.requests[id.request].prompt_tokens;
+        let ends_at = self.servers[source].engine.transfer(prompt, self.now);
+        let evicted_at = prefilled_at + engine::RESULT_LIFETIME;
+        if ends_at > evicted_at {
+            let wait = evicted_at.saturating_duration_since(self.now) + scenario::HOP_DELAY;
+            self.servers[server].slots.release(id.run_id(), self.now);
             self.grant(server);
-            return self.refuse_later(tag, false, Reason::Evicted, false, wait);
+            return self.schedule_refusal(id, false, Reason::Evicted, false, wait);
         }
-        self.push_at(ends, Event::TransferEnds { tag, server });
+        self.schedule_at(ends_at, Event::TransferEnds { id, server });
     }
 
-    fn transfer_ends(&mut self, tag: Tag, server: usize) {
-        let request = &self.requests[tag.request];
-        if request.attempt != tag.attempt || request.closed || self.servers[server].crashed {
+    fn transfer_ends(&mut self, id: AttemptId, server: usize) {
+        let request = &self.requests[id.request];
+        if request.attempt != id.attempt || request.closed || self.servers[server].crashed {
             return;
         }
         let remaining = request.output_tokens - request.sent_tokens;
-        let stream = engine::Stream { request: tag.request, attempt: tag.attempt, remaining };
+        let stream = engine::Stream { request: id.request, attempt: id.attempt, remaining };
         let engine = &mut self.servers[server].engine;
         engine.streams.push(stream);
         if !engine.stepping {
             engine.stepping = true;
             let step = engine.step_time();
-            self.push(step, Event::EngineStep { server });
+            self.schedule(step, Event::EngineStep { server });
         }
     }
 
@@ -562,7 +591,7 @@
             return;
         }
         if state.unresponsive {
-            return self.push(SWEEP, Event::EngineStep { server });
+            return self.schedule(SWEEP_PERIOD, Event::EngineStep { server });
         }
         let mut streams = std::mem::take(&mut state.engine.streams);
         for stream in &mut streams {
@@ -574,13 +603,13 @@
         streams.retain(|stream| stream.remaining > 0);
         self.servers[server].engine.streams = streams;
         for stream in ended {
-            let tag = Tag { request: stream.request, attempt: stream.attempt };
-            self.servers[server].slots.release(tag.run(), self.now);
-            self.push(scenario::HOP_DELAY, Event::Ended { tag });
+            let id = AttemptId { request: stream.request, attempt: stream.attempt };
+            self.servers[server].slots.release(id.run_id(), self.now);
+            self.schedule(scenario::HOP_DELAY, Event::Ended { id });
         }
         self.grant(server);
         let step = self.servers[server].engine.step_time();
-        self.push(step, Event::EngineStep { server });
+        self.schedule(step, Event::EngineStep { server });
     }
 
     fn send_token(&mut self, stream: &engine::Stream) {
@@ -595,61 +624,67 @@
         request.first_at.get_or_insert(at);
         request.last_at = Some(at);
         if is_first {
-            self.judge_source(stream.request, pool::ServerOutcome::Success);
+            self.record_source_outcome(stream.request, pool::ServerOutcome::Success);
         }
     }
 
-    fn cancel(&mut self, tag: Tag, server: usize) {
+    fn cancel(&mut self, id: AttemptId, server: usize) {
         let now = self.now;
         let state = &mut self.servers[server];
         if state.crashed {
             return;
         }
         if state.unresponsive {
-            return self.push(SWEEP, Event::Cancel { tag, server });
-        }
-        let is_meant = |stream: &engine::Stream| {
-            stream.request == tag.request && stream.attempt == tag.attempt
-        };
-        state.engine.streams.retain(|stream| !is_meant(stream));
-        state.waiting.remove(&tag.run());
-        state.prefilled_at.remove(&tag.run());
-        // A prefill that has begun runs to its end.
+            return self.schedule(SWEEP_PERIOD, Event::Cancel { id, server });
+        }
+        let is_cancelled =
+            |stream: &engine::Stream| stream.request == id.request && stream.attempt == id.attempt;
+        state.engine.streams.retain(|stream| !is_cancelled(stream));
+        state.waiting.remove(&id.run_id());
+        state.prefilled_at.remove(&id.run_id());
+        // A prefill that has started runs to its end.
         if server >= self.scenario.fleet.prefill_servers {
-            state.slots.release(tag.run(), now);
+            state.slots.release(id.run_id(), now);
         }
         self.grant(server);
     }
 
+    // Starts or informs the attempts that were granted a slot.
     fn grant(&mut self, server: usize) {
         while let Some(run) = self.servers[server].slots.next_grant(self.now) {
-            let Some(tag) = self.servers[server].waiting.remove(&run) else {
+            let Some(id) = self.servers[server].waiting.remove(&run) else {
                 self.servers[server].slots.release(run, self.now);
                 continue;
             };
             if server < self.scenario.fleet.prefill_servers {
-                self.run_prefill(tag, server);
+                self.run_prefill(id, server);
             } else if self.policy.reserve {
-                self.push(scenario::HOP_DELAY, Event::Granted { tag });
+                self.schedule(scenario::HOP_DELAY, Event::Granted { id });
             } else {
-                let done = self.servers[server].prefilled_at[&run];
+                let prefilled_at = self.servers[server].prefilled_at[&run];
                 self.servers[server].slots.claim(run);
-                self.transfer(tag, server, done);
+                self.transfer(id, server, prefilled_at);
             }
         }
     }
 
-    fn sweep(&mut self, server: usize) {
+    fn expire_waits(&mut self, server: usize) {
         if self.servers[server].is_responsive() {
             while let Some((run, refusal)) = self.servers[server].slots.next_expired(self.now) {
-                if let Some(tag) = self.servers[server].waiting.remove(&run) {
+                if let Some(id) = self.servers[server].waiting.remove(&run) {
                     let at_prefill = server < self.scenario.fleet.prefill_servers;
-                    self.refuse_later(tag, at_prefill, refusal.reason, false, scenario::HOP_DELAY);
+                    self.schedule_refusal(
+                        id,
+                        at_prefill,
+                        refusal.reason,
+                        false,
+                        scenario::HOP_DELAY,
+                    );
                 }
             }
             self.grant(server);
         }
-        self.push(SWEEP, Event::Sweep { server });
+        self.schedule(SWEEP_PERIOD, Event::ExpireWaits { server });
     }
 
     // --- faults ---
@@ -670,7 +705,7 @@
                 }
             }
             (scenario::Fault::LinkStalls, true) => {
-                let until = self.now + FAULT_TIME;
+                let until = self.now + FAULT_DURATION;
                 self.servers[0].engine.stall_link(until);
             }
             (scenario::Fault::SlowEngine, true) => self.servers[first_decode].engine.slowdown = 3,
@@ -685,15 +720,15 @@
         }
     }
 
-    // Entries give up on what runs at a server that they do not hear any more.
+    // Schedules the failure of all attempts at a server whose connections are lost.
     fn lose_contact(&mut self, server: usize) {
         for number in 0..self.requests.len() {
             let request = &self.requests[number];
             let at_prefill = request.prefill_server == Some(server);
             if !request.closed && (at_prefill || request.decode_server == Some(server)) {
-                let tag = self.tag(number);
+                let id = self.attempt_id(number);
                 let ran = !at_prefill;
-                self.refuse_later(tag, at_prefill, Reason::LostContact, ran, LOST_AFTER);
+                self.schedule_refusal(id, at_prefill, Reason::LostContact, ran, LOST_AFTER);
             }
         }
     }
