--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -1,4 +1,4 @@
-//! Results of a run.
+//! Results of a simulation.
 
 use std::{collections, fmt::Write, time};
 
@@ -8,49 +8,51 @@
 
 use outcome::Reason;
 
-/// Results of one run.
+/// Results of one simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
-    /// Requests a second that met both targets.
+    /// Requests per second that met both latency targets.
     pub goodput: f64,
-    /// Requests a second that were answered whole.
+    /// Requests per second whose answer was complete.
     pub answered: f64,
     /// Share of the prefilled prompt tokens whose result was never used.
     pub wasted: f64,
-    /// Tokens prefilled in vain, by reason.
+    /// Wasted prefill tokens by reason.
     pub wasted_by: collections::BTreeMap<&'static str, u64>,
     /// Refusals by reason.
     pub refused: collections::BTreeMap<&'static str, u64>,
-    /// Worst caller's goodput, as a part of the mean.
+    /// Lowest goodput of a caller, as a share of the mean.
     pub worst_caller: f64,
     /// Jain's fairness index of the callers' goodput.
     pub fairness: f64,
-    /// Goodput of all callers but the first.
+    /// Goodput of all callers except the first, which is the greedy one.
     pub others_goodput: f64,
-    /// Share of the requests of all callers but the first that met both targets.
+    /// Share of the requests of all callers except the first that met both latency targets.
     pub others_share: f64,
-    /// Reservations and streams still held when all requests were closed.
+    /// Slots still held at the end of the simulation, when all requests are closed.
     pub held: u32,
 }
 
-/// Adds results up.
+/// Counters from which the results are computed.
 #[derive(Debug)]
-pub(crate) struct Tally {
+pub(crate) struct Counters {
     prefilled: u64,
     wasted: u64,
     results: Results,
     ledger: usage::Ledger,
+    // Requests that met both latency targets, by caller.
     good: [u64; scenario::CALLERS],
+    // Requests that arrived, by caller.
     arrived: [u64; scenario::CALLERS],
     answered: u64,
 }
 
-/// Service that all requests of a run are counted for.
+/// Service for which all requests are counted.
 pub const SERVICE: &str = "model";
 
-impl Tally {
-    pub(crate) fn new() -> Tally {
-        Tally {
+impl Counters {
+    pub(crate) fn new() -> Counters {
+        Counters {
             prefilled: 0,
             wasted: 0,
             results: Results::default(),
@@ -61,32 +63,32 @@
         }
     }
 
-    // Usage as an entry counts it, beside the bench's own counts.
+    // Usage totals as an entry counts them, in addition to the counters above.
     fn totals(&mut self, caller: usize) -> &mut usage::Totals {
         self.ledger.totals(SERVICE, &format!("caller-{caller}"))
     }
 
-    pub(crate) fn arrive(&mut self, caller: usize) {
+    pub(crate) fn record_arrival(&mut self, caller: usize) {
         self.arrived[caller] += 1;
     }
 
-    pub(crate) fn prefilled(&mut self, caller: usize, tokens: u32) {
+    pub(crate) fn record_prefill(&mut self, caller: usize, tokens: u32) {
         self.totals(caller).prefill_tokens += u64::from(tokens);
         self.prefilled += u64::from(tokens);
     }
 
-    pub(crate) fn waste(&mut self, caller: usize, reason: Reason, tokens: u32) {
+    pub(crate) fn record_waste(&mut self, caller: usize, reason: Reason, tokens: u32) {
         self.totals(caller).count_waste(reason, u64::from(tokens));
         self.wasted += u64::from(tokens);
         *self.results.wasted_by.entry(reason.name()).or_default() += u64::from(tokens);
     }
 
-    pub(crate) fn refuse(&mut self, caller: usize, refusal: outcome::Refusal) {
+    pub(crate) fn record_refusal(&mut self, caller: usize, refusal: outcome::Refusal) {
         self.totals(caller).count_outcome(refusal.outcome, Some(refusal.reason));
         *self.results.refused.entry(refusal.reason.name()).or_default() += 1;
     }
 
-    pub(crate) fn answer(&mut self, request: &request::Request, fleet: &scenario::Fleet) {
+    pub(crate) fn record_answer(&mut self, request: &request::Request, fleet: &scenario::Fleet) {
         self.answered += 1;
         self.totals(request.caller).count_outcome(outcome::Outcome::Answered, None);
         let (Some(first), Some(last)) = (request.first_at, request.last_at) else { return };
@@ -119,14 +121,14 @@
     }
 }
 
-/// Head of the table.
+/// Head of the table of results, in Markdown.
 pub fn table_head() -> String {
     "| fleet | load | shape | fault | policy | goodput /s | others /s | answered /s | wasted % | worst | Jain \
      | refused | wasted by |\n|---|---:|---|---|---|---:|---:|---:|---:|---:|---:|---|---|\n"
         .to_string()
 }
 
-/// Line of the table.
+/// Row of the table of results.
 pub fn table_row(scenario: &scenario::Scenario, policy: &str, results: &Results) -> String {
     let mut text = format!(
         "| {} | {} | {:?} | {:?} | {policy} | {:.1} | {:.1} | {:.1} | {:.2} | {:.2} | {:.3} | ",
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -44,7 +44,7 @@
     servers: Vec<Server>,
     entries: Vec<Entry>,
     requests: Vec<request::Request>,
-    tally: results::Tally,
+    counters: results::Counters,
 }
 
 /// Simulates a scenario with a policy.
@@ -73,7 +73,7 @@
         .filter(|server| !server.crashed)
         .map(|server| server.held_slots(end))
         .sum();
-    simulation.tally.finish(time::Duration::from_secs(scenario.seconds), held)
+    simulation.counters.finish(time::Duration::from_secs(scenario.seconds), held)
 }
 
 impl<'a> Simulation<'a> {
@@ -114,7 +114,7 @@
             entries: entries.collect(),
             servers,
             requests: Vec::new(),
-            tally: results::Tally::new(),
+            counters: results::Counters::new(),
         }
     }
 
@@ -185,7 +185,7 @@
 
     fn arrive(&mut self, number: usize) {
         let request = &mut self.requests[number];
-        self.tally.arrive(request.caller);
+        self.counters.record_arrival(request.caller);
         if self.policy.fair_share {
             let caller = format!("caller-{}", request.caller);
             request.share = self.entries[request.entry].fair_share.admit(&caller, self.now);
@@ -375,7 +375,7 @@
         request.attempt += 1;
         if unused > 0 {
             let caller = request.caller;
-            self.tally.waste(caller, reason, unused);
+            self.counters.record_waste(caller, reason, unused);
         }
     }
 
@@ -384,13 +384,13 @@
         let request = &mut self.requests[number];
         request.closed = true;
         self.entries[request.entry].retry_budget.deposit();
-        self.tally.answer(request, &self.scenario.fleet);
+        self.counters.record_answer(request, &self.scenario.fleet);
     }
 
     fn close_refused(&mut self, number: usize, refusal: Refusal) {
         self.requests[number].closed = true;
         let caller = self.requests[number].caller;
-        self.tally.refuse(caller, refusal);
+        self.counters.record_refusal(caller, refusal);
     }
 
     fn send_report(&mut self, entry: usize, server: usize) {
@@ -499,7 +499,7 @@
         let request = &mut self.requests[id.request];
         let state = &mut self.servers[server];
         state.slots.claim(id.run_id());
-        self.tally.prefilled(request.caller, request.prompt_tokens);
+        self.counters.record_prefill(request.caller, request.prompt_tokens);
         request.unused_tokens = request.prompt_tokens;
         request.source_server = server;
         let (work, ends_at) = state.engine.prefill(request, self.now);
