--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,15 +1,16 @@
-//! Drives the real decisions of entries and agents under load and faults, on a virtual clock.
+//! Simulates the decisions of entries and agents under load and faults, on a virtual clock.
 //!
-//! Engines are small stand-ins; messages take a fixed time and are lost only where a fault says
-//! so. Every run with the same seed gives the same result.
+//! The decisions are those of the code in production; engines are simple models. Messages have a
+//! fixed delay and are lost only under faults. The same scenario, policy and seed give the same
+//! results.
 //!
 //! ```
 //! use rhubarb_bench::{policy, scenario, simulation};
 //!
 //! let mut scenario = scenario::Scenario::new(scenario::laine_sahel(), 0.5);
 //! scenario.seconds = 5;
-//! let first = simulation::simulate(&scenario, &policy::LATEST);
-//! assert_eq!(first, simulation::simulate(&scenario, &policy::LATEST));
+//! let results = simulation::simulate(&scenario, &policy::LATEST);
+//! assert_eq!(results, simulation::simulate(&scenario, &policy::LATEST));
 //! ```
 
 mod engine;
