--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Prints the table of policies under load and faults.
+//! Prints a table that compares routing policies under load and faults.
 
 use bpaf::Parser;
 
@@ -17,7 +17,9 @@
         .descr("Measures routing policies under load and faults")
 }
 
+/// Measured loads, as multiples of the capacity of the engines.
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 1.2, 2.0];
+
 fn scenarios(options: &Options) -> Vec<scenario::Scenario> {
     let mut scenarios = Vec::new();
     for fleet in [scenario::laine_sahel(), scenario::compas_nautico()] {
