--- a/crates/bench/tests/reports.rs
+++ b/crates/bench/tests/reports.rs
@@ -1,9 +1,9 @@
-//! The managers' report agrees with the bench's own counts.
+//! The usage report agrees with the counters of the bench.
 
 use rhubarb_bench::{policy, results, scenario, simulation};
 use rhubarb_report::merge;
 
-fn merged(scenario: &scenario::Scenario) -> (results::Results, merge::Report) {
+fn simulate_and_report(scenario: &scenario::Scenario) -> (results::Results, merge::Report) {
     let (results, ledger) = simulation::simulate_with_usage(scenario, &policy::LATEST);
     let mut report = merge::Report::new(0, u64::MAX);
     let record = ledger.next_record().expect("the ledger was closed");
@@ -17,7 +17,7 @@
     let fleet = scenario::compas_nautico();
     for fault in [scenario::Fault::None, scenario::Fault::LinkStalls, scenario::Fault::Cancels] {
         let scenario = scenario::Scenario { fault, ..scenario::Scenario::new(fleet.clone(), 1.2) };
-        let (results, report) = merged(&scenario);
+        let (results, report) = simulate_and_report(&scenario);
         let sum = |count: &dyn Fn(&rhubarb_core::usage::Totals) -> u64| -> u64 {
             report.rows().map(|(_, _, totals)| count(totals)).sum()
         };
