--- a/crates/slopes/src/meter.rs
+++ b/crates/slopes/src/meter.rs
@@ -1,32 +1,34 @@
-//! Takes and prints measurements.
+//! Measures times, memory and sizes, and prints them as a table.
 
 use std::{fmt::Write, fs, hint, mem, time};
 
-/// Collected measurements.
+/// Collector of measurements.
 #[derive(Debug)]
 pub(crate) struct Meter {
+    // Number of runs of which the median time is recorded.
     runs: u32,
-    lines: Vec<Line>,
+    measurements: Vec<Measurement>,
 }
 
 #[derive(Debug)]
-struct Line {
-    what: &'static str,
+struct Measurement {
+    label: &'static str,
     amount: f64,
     unit: &'static str,
 }
 
+/// Unit of `/proc/self/statm`.
 const PAGE_BYTES: f64 = 4096.0;
 
 impl Meter {
     pub(crate) fn new(runs: u32) -> Meter {
-        Meter { runs: runs.max(1), lines: Vec::new() }
+        Meter { runs: runs.max(1), measurements: Vec::new() }
     }
 
-    /// Times `work`, which does `count` units, and notes the time for one.
+    /// Records the median time of one call of `work`, which is called `count` times in each run.
     pub(crate) fn time<T>(
         &mut self,
-        what: &'static str,
+        label: &'static str,
         count: u32,
         mut work: impl FnMut(u32) -> T,
     ) {
@@ -39,38 +41,40 @@
             samples.push(start.elapsed().as_nanos() as f64 / f64::from(count));
         }
         samples.sort_by(f64::total_cmp);
-        self.note(what, samples[samples.len() / 2], "ns");
+        self.record(label, samples[samples.len() / 2], "ns");
     }
 
-    /// Notes the resident memory that one of the `count` units made by `make` takes.
-    pub(crate) fn memory<T>(&mut self, what: &'static str, count: u32, make: impl FnOnce() -> T) {
+    /// Records the resident memory of one of the `count` items that `make` creates.
+    pub(crate) fn memory<T>(&mut self, label: &'static str, count: u32, make: impl FnOnce() -> T) {
         let before = resident_bytes();
-        let made = make();
-        let grown = resident_bytes() - before;
-        // Kept for good, so that what is measured next needs fresh pages.
-        mem::forget(hint::black_box(made));
-        self.note(what, grown / f64::from(count), "bytes of memory");
+        let items = make();
+        let growth = resident_bytes() - before;
+        // Never freed, so that the next measurement needs new pages.
+        mem::forget(hint::black_box(items));
+        self.record(label, growth / f64::from(count), "bytes of memory");
     }
 
-    /// Notes a size.
-    pub(crate) fn size(&mut self, what: &'static str, bytes: usize) {
-        self.note(what, bytes as f64, "bytes");
+    /// Records a size.
+    pub(crate) fn size(&mut self, label: &'static str, bytes: usize) {
+        self.record(label, bytes as f64, "bytes");
     }
 
-    fn note(&mut self, what: &'static str, amount: f64, unit: &'static str) {
-        self.lines.push(Line { what, amount, unit });
+    fn record(&mut self, label: &'static str, amount: f64, unit: &'static str) {
+        self.measurements.push(Measurement { label, amount, unit });
     }
 
     /// All measurements as a table.
     pub(crate) fn table(&self) -> String {
         let mut text = String::from("| what | amount | unit |\n|---|---:|---|\n");
-        for line in &self.lines {
-            let _ = writeln!(text, "| {} | {:.0} | {} |", line.what, line.amount, line.unit);
+        for measurement in &self.measurements {
+            let Measurement { label, amount, unit } = measurement;
+            let _ = writeln!(text, "| {label} | {amount:.0} | {unit} |");
         }
         text
     }
 }
 
+// Resident memory of this process; 0 if it cannot be read.
 fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<f64>().ok());
