--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -1,4 +1,4 @@
-//! Costs of control: load exchanges, pools, heartbeats.
+//! Costs of control traffic and decisions: heartbeats, pools, owners of keys and pings.
 
 use std::time;
 
@@ -7,17 +7,20 @@
 
 use crate::meter;
 
+/// Servers in the subset of an entry.
 const SUBSET: u32 = 12;
+/// Servers of which a subset is chosen.
 const CANDIDATES: u32 = 1333;
-const HOMES: u32 = 30;
+/// Servers of which one owns a key.
+const OWNERS: u32 = 30;
 
 pub(crate) fn measure(meter: &mut meter::Meter) {
-    measure_beats(meter);
+    measure_heartbeats(meter);
     measure_pool(meter);
-    measure_links(meter);
+    measure_pings(meter);
 }
 
-fn measure_beats(meter: &mut meter::Meter) {
+fn measure_heartbeats(meter: &mut meter::Meter) {
     let keys = auth::Keys::new(vec!["0123456789abcdef0123456789abcdef".into()]);
     let keys = keys.expect("the key is long enough");
     let follow = datagram::Heartbeat::Follow(datagram::Follow {
@@ -70,13 +73,13 @@
     meter.time("choose the subset of a pool of 1333", 20, |_| {
         subset::choose("entry-1", "zone-1", &candidates, SUBSET as usize)
     });
-    let names: Vec<ids::ServerName> = (0..HOMES).map(|number| format!("yard-{number}")).collect();
+    let names: Vec<ids::ServerName> = (0..OWNERS).map(|number| format!("yard-{number}")).collect();
     meter.time("find the home of a key among 30 servers", 2_000, |number| {
         owner::rank(u128::from(number), &names).len()
     });
 }
 
-fn measure_links(meter: &mut meter::Meter) {
+fn measure_pings(meter: &mut meter::Meter) {
     let ping = message::ToAgent::Ping(message::Ping { seq: 100_000, version: 100_000 });
     let pong = message::ToEntry::Pong(message::Pong {
         seq: 100_000,
