--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -1,4 +1,4 @@
-//! Costs of requests: frames, gates, rooms, limits, usage.
+//! Costs of requests: frames, gates, slots, limits and usage.
 
 use std::time;
 
@@ -7,7 +7,9 @@
 
 use crate::meter;
 
+/// Idempotency keys that a gate remembers.
 const KEYS: u32 = 100_000;
+/// Callers of an entry.
 const CALLERS: u32 = 14_000;
 
 pub(crate) fn measure(meter: &mut meter::Meter) {
@@ -109,12 +111,12 @@
     meter.time("look for orphans and old records among 100000", 1_000, |_| {
         (gate.next_orphan(now), gate.next_expired(now))
     });
-    let mut rooms = slots::Slots::new(300, 64, time::Duration::from_secs(5));
+    let mut slots = slots::Slots::new(300, 64, time::Duration::from_secs(5));
     meter.time("reserve and free a room", 20_000, |number| {
         let run = u128::from(number);
-        rooms.request(run, now + time::Duration::from_secs(2), now);
-        rooms.claim(run);
-        rooms.release(run, now);
+        slots.request(run, now + time::Duration::from_secs(2), now);
+        slots.claim(run);
+        slots.release(run, now);
     });
 }
 
