--- a/crates/slopes/src/lists.rs
+++ b/crates/slopes/src/lists.rs
@@ -4,7 +4,9 @@
 
 use crate::meter;
 
+/// Callers in the list.
 const CALLERS: u32 = 14_000;
+/// Servers in the list.
 const SERVERS: u32 = 12_000;
 
 pub(crate) fn measure(meter: &mut meter::Meter) {
@@ -26,17 +28,17 @@
 }
 
 fn measure_changes(meter: &mut meter::Meter) {
-    let edition = revision::read_row(1, &full_row()).expect("the row is sound");
-    let text = edition.text().replacen("rate = 100", "rate = 101", 1);
-    let content = revision::next_content(Some(&edition), &text, 2).expect("no mistakes");
-    let change = change::diff(&edition, &content).expect("no section moved");
+    let revision = revision::read_row(1, &full_row()).expect("the row is valid");
+    let text = revision.text().replacen("rate = 100", "rate = 101", 1);
+    let content = revision::next_content(Some(&revision), &text, 2).expect("no mistakes");
+    let change = change::diff(&revision, &content).expect("no section moved");
     let bytes = serde_json::to_string(&change).expect("changes can be encoded").len();
     meter.size("change of one caller", bytes);
-    let mut edition = edition;
+    let mut revision = revision;
     let mut version = 1;
     meter.time("take in a change of one caller", 50, |_| {
         version += 1;
-        edition.apply(version, &change)
+        revision.apply(version, &change)
     });
 }
 
