--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -1,6 +1,6 @@
 //! Measures what one unit of each kind of work costs, for docs/CAPACITY.md.
 //!
-//! Run it as `cargo run --release -p rhubarb-slopes`; each figure is the median of several runs.
+//! Run it as `cargo run --release -p rhubarb-slopes`; each time is the median of several runs.
 
 mod control;
 mod data;
@@ -20,7 +20,7 @@
 
 fn main() {
     let mut meter = meter::Meter::new(options().run());
-    // Memory first, while the allocator has no freed pages to use again.
+    // Memory is measured first, while the allocator has no freed pages to reuse.
     data::measure_memory(&mut meter);
     lists::measure_memory(&mut meter);
     control::measure(&mut meter);
