--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -25,7 +25,7 @@
     pub worst_caller: f64,
     /// Jain's fairness index of the callers' goodput.
     pub fairness: f64,
-    /// Goodput of all callers except the first, which is the greedy one.
+    /// Goodput of all callers except the first, which is the one that can be greedy.
     pub others_goodput: f64,
     /// Share of the requests of all callers except the first that met both latency targets.
     pub others_share: f64,
