--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,8 +1,8 @@
-//! Prints the table of policies under load and faults.
+//! Prints a table that compares routing policies under load and faults.
 
 use bpaf::Parser;
 
-use rhubarb_bench::{frame, policy, score, world};
+use rhubarb_bench::{policy, results, scenario, simulation};
 
 struct Options {
     faults: bool,
@@ -17,34 +17,40 @@
         .descr("Measures routing policies under load and faults")
 }
 
+/// Measured loads, as multiples of the capacity of the engines.
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 1.2, 2.0];
-fn runs(options: &Options) -> Vec<frame::Run> {
-    let mut runs = Vec::new();
-    for fleet in [frame::laine_sahel(), frame::compas_nautico()] {
+
+fn scenarios(options: &Options) -> Vec<scenario::Scenario> {
+    let mut scenarios = Vec::new();
+    for fleet in [scenario::laine_sahel(), scenario::compas_nautico()] {
         for load in LOADS {
-            runs.push(frame::Run::new(fleet.clone(), load));
+            scenarios.push(scenario::Scenario::new(fleet.clone(), load));
         }
-        for shape in [frame::Shape::Burst, frame::Shape::Greedy] {
-            runs.push(frame::Run { shape, ..frame::Run::new(fleet.clone(), 0.9) });
+        for shape in [scenario::Shape::Burst, scenario::Shape::Greedy] {
+            scenarios
+                .push(scenario::Scenario { shape, ..scenario::Scenario::new(fleet.clone(), 0.9) });
         }
-        let faults = if options.faults { &frame::FAULTS[..] } else { &[] };
+        let faults = if options.faults { &scenario::FAULTS[..] } else { &[] };
         for fault in faults {
-            runs.push(frame::Run { fault: *fault, ..frame::Run::new(fleet.clone(), 0.9) });
+            scenarios.push(scenario::Scenario {
+                fault: *fault,
+                ..scenario::Scenario::new(fleet.clone(), 0.9)
+            });
         }
     }
-    for run in &mut runs {
-        run.seed = options.seed;
+    for scenario in &mut scenarios {
+        scenario.seed = options.seed;
     }
-    runs
+    scenarios
 }
 
 fn main() {
     let options = options().run();
-    print!("{}", score::head());
-    for run in runs(&options) {
+    print!("{}", results::table_head());
+    for scenario in scenarios(&options) {
         for policy in &policy::ALL {
-            let score = world::simulate(&run, policy);
-            print!("{}", score::line(&run, policy.name, &score));
+            let results = simulation::simulate(&scenario, policy);
+            print!("{}", results::table_row(&scenario, policy.name, &results));
         }
     }
 }
--- a/crates/bench/tests/bounds.rs
+++ b/crates/bench/tests/bounds.rs
@@ -1,38 +1,40 @@
-//! Bounds of the policy in force, from its stated targets, on a short form of the bench.
+//! The policy in force meets its stated targets in the scenarios of the bench.
 
-use rhubarb_bench::{frame, policy, score, world};
+use rhubarb_bench::{policy, results, scenario, simulation};
 
-/// Goodput above capacity, as a part of that at capacity.
-const NO_COLLAPSE: f64 = 0.95;
-const WASTE: f64 = 0.01;
-const WASTE_IN_FAULTS: f64 = 0.05;
-/// Part of their goodput that others keep beside a greedy caller.
-const OTHERS_KEEP: f64 = 0.95;
+/// Least goodput above capacity, as a share of that at capacity.
+const MIN_OVERLOAD_SHARE: f64 = 0.95;
+/// Most wasted prefill tokens, as a share of all.
+const MAX_WASTE: f64 = 0.01;
+/// Most wasted prefill tokens under a fault, as a share of all.
+const MAX_FAULT_WASTE: f64 = 0.05;
+/// Least goodput of the other callers beside a greedy one, as a share of that without it.
+const MIN_OTHERS_SHARE: f64 = 0.95;
 const SECONDS: u64 = 30;
 
-fn run(fleet: &frame::Fleet, load: f64) -> frame::Run {
-    frame::Run { seconds: SECONDS, ..frame::Run::new(fleet.clone(), load) }
+fn scenario(fleet: &scenario::Fleet, load: f64) -> scenario::Scenario {
+    scenario::Scenario { seconds: SECONDS, ..scenario::Scenario::new(fleet.clone(), load) }
 }
 
-fn latest(run: &frame::Run) -> score::Score {
-    let score = world::simulate(run, &policy::LATEST);
-    assert_eq!(score.held, 0, "rooms still held: {run:?}");
-    score
+fn latest(scenario: &scenario::Scenario) -> results::Results {
+    let results = simulation::simulate(scenario, &policy::LATEST);
+    assert_eq!(results.held, 0, "slots still held: {scenario:?}");
+    results
 }
 
-fn fleets() -> [frame::Fleet; 2] {
-    [frame::laine_sahel(), frame::compas_nautico()]
+fn fleets() -> [scenario::Fleet; 2] {
+    [scenario::laine_sahel(), scenario::compas_nautico()]
 }
 
 #[test]
-fn no_collapse() {
+fn overload_goodput() {
     for fleet in fleets() {
-        let capacity = latest(&run(&fleet, 1.0)).goodput;
+        let capacity = latest(&scenario(&fleet, 1.0)).goodput;
         for load in [1.2, 2.0] {
-            let score = latest(&run(&fleet, load));
-            let goodput = score.goodput;
-            assert!(goodput >= NO_COLLAPSE * capacity, "{} {load}: {goodput}", fleet.name);
-            assert!(score.wasted < WASTE, "{} {load}: wasted {}", fleet.name, score.wasted);
+            let results = latest(&scenario(&fleet, load));
+            let goodput = results.goodput;
+            assert!(goodput >= MIN_OVERLOAD_SHARE * capacity, "{} {load}: {goodput}", fleet.name);
+            assert!(results.wasted < MAX_WASTE, "{} {load}: wasted {}", fleet.name, results.wasted);
         }
     }
 }
@@ -40,9 +42,9 @@
 #[test]
 fn waste_in_faults() {
     for fleet in fleets() {
-        for fault in frame::FAULTS {
-            let wasted = latest(&frame::Run { fault, ..run(&fleet, 0.9) }).wasted;
-            assert!(wasted < WASTE_IN_FAULTS, "{} {fault:?}: {wasted}", fleet.name);
+        for fault in scenario::FAULTS {
+            let wasted = latest(&scenario::Scenario { fault, ..scenario(&fleet, 0.9) }).wasted;
+            assert!(wasted < MAX_FAULT_WASTE, "{} {fault:?}: {wasted}", fleet.name);
         }
     }
 }
@@ -50,10 +52,10 @@
 #[test]
 fn greedy_caller() {
     for fleet in fleets() {
-        let alone = latest(&run(&fleet, 0.9)).others_part;
-        let greedy = frame::Run { shape: frame::Shape::Greedy, ..run(&fleet, 0.9) };
-        let beside = latest(&greedy).others_part;
-        assert!(beside >= OTHERS_KEEP * alone, "{}: {alone} {beside}", fleet.name);
+        let alone = latest(&scenario(&fleet, 0.9)).others_share;
+        let greedy = scenario::Scenario { shape: scenario::Shape::Greedy, ..scenario(&fleet, 0.9) };
+        let with_greedy = latest(&greedy).others_share;
+        assert!(with_greedy >= MIN_OTHERS_SHARE * alone, "{}: {alone} {with_greedy}", fleet.name);
     }
 }
 
@@ -61,19 +63,23 @@
 fn beats_baselines() {
     for fleet in fleets() {
         for load in [0.9, 1.2, 2.0] {
-            let run = run(&fleet, load);
-            let ours = latest(&run);
+            let scenario = scenario(&fleet, load);
+            let latest_results = latest(&scenario);
             for baseline in [policy::ROUND_ROBIN, policy::LEAST_REPORTED] {
-                let other = world::simulate(&run, &baseline);
-                assert!(ours.goodput >= other.goodput * 0.99, "{} {load}", fleet.name);
-                assert!(ours.wasted <= other.wasted, "{} {load}", fleet.name);
+                let baseline_results = simulation::simulate(&scenario, &baseline);
+                assert!(
+                    latest_results.goodput >= baseline_results.goodput * 0.99,
+                    "{} {load}",
+                    fleet.name
+                );
+                assert!(latest_results.wasted <= baseline_results.wasted, "{} {load}", fleet.name);
             }
         }
     }
 }
 
 #[test]
-fn same_again() {
-    let run = run(&frame::compas_nautico(), 1.2);
-    assert_eq!(latest(&run), latest(&run));
+fn same_results() {
+    let scenario = scenario(&scenario::compas_nautico(), 1.2);
+    assert_eq!(latest(&scenario), latest(&scenario));
 }
