--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -241,9 +241,10 @@
         self.prompt_tokens = tokens;
         let work = time::Duration::from_micros(prefilled.work_us);
         let size = self.request.prompt.len() as u32;
-        self.ticket.entry.directory.view().pace(&self.ticket.service.name).record(size, work);
+        let service = &self.ticket.service.name;
+        self.ticket.entry.directory.view().prefill_time(service).record(size, work);
         let mut ledger = self.ticket.entry.ledger();
-        let totals = ledger.totals(&self.ticket.service.name, &self.ticket.caller);
+        let totals = ledger.totals(service, &self.ticket.caller);
         totals.prefill_tokens += tokens;
     }
 
--- a/crates/entry/src/selection.rs
+++ b/crates/entry/src/selection.rs
@@ -29,7 +29,7 @@
     }
     let affinity = prompt.map(hash_prefix);
     let work = match prompt {
-        Some(prompt) => view.pace(service).estimate(prompt.len() as u32),
+        Some(prompt) => view.prefill_time(service).estimate(prompt.len() as u32),
         None => time::Duration::ZERO,
     };
     let by_work = prompt.is_some();
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -31,7 +31,7 @@
     members: collections::BTreeMap<ids::ServiceName, owner::Members>,
     budgets: collections::BTreeMap<ids::ServiceName, budget::RetryBudget>,
     fair_shares: collections::BTreeMap<ids::ServiceName, fair_share::FairShare>,
-    paces: collections::BTreeMap<ids::ServiceName, prefill_time::PrefillTime>,
+    prefill_times: collections::BTreeMap<ids::ServiceName, prefill_time::PrefillTime>,
     key_digests: collections::BTreeMap<String, ids::CallerName>,
 }
 
@@ -49,7 +49,7 @@
             members: collections::BTreeMap::new(),
             budgets: collections::BTreeMap::new(),
             fair_shares: collections::BTreeMap::new(),
-            paces: collections::BTreeMap::new(),
+            prefill_times: collections::BTreeMap::new(),
             key_digests: collections::BTreeMap::new(),
         }
     }
@@ -225,9 +225,9 @@
         self.fair_shares.entry(service.to_string()).or_default()
     }
 
-    /// Pace of the prefill engines of a service.
-    pub(crate) fn pace(&mut self, service: &str) -> &mut prefill_time::PrefillTime {
-        self.paces.entry(service.to_string()).or_default()
+    /// Prefill time of the engines of a service, estimated from completed prompts.
+    pub(crate) fn prefill_time(&mut self, service: &str) -> &mut prefill_time::PrefillTime {
+        self.prefill_times.entry(service.to_string()).or_default()
     }
 
     /// Retry budget of a service.
