--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -87,7 +87,7 @@
     let excess = {
         let mut view = entry.directory.view();
         view.budget(&service.name).deposit();
-        view.fair(&service.name).admit(&caller.name, arrived) == fair_share::Share::Excess
+        view.fair_share(&service.name).admit(&caller.name, arrived) == fair_share::Share::Excess
     };
     Ok(Ticket {
         entry: entry.clone(),
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -221,7 +221,7 @@
     }
 
     /// Fair shares of the callers of a service.
-    pub(crate) fn fair(&mut self, service: &str) -> &mut fair_share::FairShare {
+    pub(crate) fn fair_share(&mut self, service: &str) -> &mut fair_share::FairShare {
         self.fair_shares.entry(service.to_string()).or_default()
     }
 
