--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 struct OpenRun {
     sink: channel::Sink,
-    assembly: reassembly::Reassembly,
+    reassembly: reassembly::Reassembly,
     has_head: bool,
 }
 
@@ -144,7 +144,7 @@
 
     async fn resume_all(&mut self, connection: &mut connector::Connection) {
         for (run, open) in &self.runs {
-            let resume = message::Resume { run: *run, offset: open.assembly.offset() };
+            let resume = message::Resume { run: *run, offset: open.reassembly.offset() };
             connection.send(&message::ToAgent::Resume(resume)).await;
         }
     }
@@ -233,8 +233,8 @@
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                     return true;
                 }
-                let assembly = reassembly::Reassembly::default();
-                self.runs.insert(run, OpenRun { sink, assembly, has_head: false });
+                let reassembly = reassembly::Reassembly::default();
+                self.runs.insert(run, OpenRun { sink, reassembly, has_head: false });
                 connection.send(&message).await && self.keep_alive(connection).await
             }
             channel::Command::Send(message) => connection.send(&message).await,
@@ -303,7 +303,7 @@
     // After a gap the connection is reopened, and every run is resumed at its offset.
     fn handle_chunk(&mut self, chunk: chunk::Chunk) -> bool {
         let Some(open) = self.runs.get_mut(&chunk.run) else { return true };
-        match open.assembly.accept(chunk.offset, &chunk.bytes) {
+        match open.reassembly.accept(chunk.offset, &chunk.bytes) {
             Ok([]) => true,
             Ok(fresh) => {
                 let bytes = fresh.to_vec();
@@ -318,7 +318,7 @@
 
     fn handle_end(&mut self, end: message::End) -> bool {
         let Some(open) = self.runs.get(&end.run) else { return true };
-        if open.assembly.finish(end.length).is_err() {
+        if open.reassembly.finish(end.length).is_err() {
             return false;
         }
         self.forward(end.run, channel::Event::End, true)
