--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -24,7 +24,7 @@
     prefilled: Option<message::Prefilled>,
     // Server that prefilled the prompt, until a token confirms that the result was usable.
     prefill_server: Option<ids::ServerName>,
-    // Bytes received after the last complete line.
+    // Bytes of the response body after its last complete line.
     partial_line: Vec<u8>,
     tokens_sent: u32,
     prompt_tokens: u64,
@@ -136,7 +136,7 @@
         let Some(peer) = self.ticket.entry.peers.get(&server) else {
             return self.server_unreachable(Some(server), keyed);
         };
-        let Some(contact) = peer.connect().await else {
+        let Some(agent) = peer.connect().await else {
             selection::record_end(
                 &self.ticket,
                 &server,
@@ -147,14 +147,14 @@
         };
         let wait_deadline = self.ticket.deadline.min(clock::now() + self.targets.max_wait);
         let run_id = self.ticket.entry.peers.next_run_id();
-        let order = message::ToAgent::Reserve(message::Reserve {
+        let message = message::ToAgent::Reserve(message::Reserve {
             run: run_id,
             key: self.ticket.key.as_ref().map(|key| key.hash),
-            wait_by_ms: contact.clock_at(wait_deadline),
-            start_by_ms: contact.clock_at(self.ticket.deadline),
+            wait_by_ms: agent.clock_at(wait_deadline),
+            start_by_ms: agent.clock_at(self.ticket.deadline),
             excess: self.ticket.excess,
         });
-        let mut run = peer.start(run_id, contact, order);
+        let mut run = peer.start(run_id, agent, message);
         let result = self.writer.responder.wait(run.next(), self.ticket.deadline).await;
         self.decode = Some(ServerRun { server: server.clone(), run });
         match result {
@@ -167,7 +167,7 @@
         }
     }
 
-    // Converts the result of a wait other than the expected message into an event.
+    // Event of an attempt whose wait did not end with the expected event.
     fn wait_failure_event(
         &self,
         server: ids::ServerName,
@@ -203,24 +203,24 @@
     }
 
     async fn prefill_at(&mut self, server: &ids::ServerName) -> flow::Event {
-        let contact = match self.ticket.entry.peers.get(server) {
-            Some(peer) => peer.connect().await.map(|contact| (peer, contact)),
+        let connected = match self.ticket.entry.peers.get(server) {
+            Some(peer) => peer.connect().await.map(|agent| (peer, agent)),
             None => None,
         };
-        let Some((peer, contact)) = contact else {
+        let Some((peer, agent)) = connected else {
             return self.server_unreachable(Some(server.clone()), false);
         };
         let run_id = self.ticket.entry.peers.next_run_id();
-        let order = message::ToAgent::Prefill(message::Prefill {
+        let message = message::ToAgent::Prefill(message::Prefill {
             run: run_id,
-            start_by_ms: contact.clock_at(self.ticket.deadline),
-            due_ms: contact.clock_at(self.ticket.arrived + self.targets.first_token),
+            start_by_ms: agent.clock_at(self.ticket.deadline),
+            due_ms: agent.clock_at(self.ticket.arrived + self.targets.first_token),
             max_wait_ms: self.targets.max_wait.as_millis() as u64,
             limit_ms: self.ticket.time_left().as_millis() as u64,
             excess: self.ticket.excess,
             prompt: self.request.prompt.clone(),
         });
-        let mut run = peer.start(run_id, contact, order);
+        let mut run = peer.start(run_id, agent, message);
         match self.writer.responder.wait(run.next(), self.ticket.deadline).await {
             responder::WaitOutcome::Event(channel::Event::Prefilled(prefilled)) => {
                 self.record_prefill(&prefilled);
@@ -252,7 +252,7 @@
         let (Some(decode), Some(prefilled)) = (&self.decode, &self.prefilled) else {
             return self.server_unreachable(None, self.ticket.key.is_some());
         };
-        let order = message::ToAgent::Decode(message::Decode {
+        let message = message::ToAgent::Decode(message::Decode {
             run: decode.run.id,
             limit_ms: self.ticket.time_left().as_millis() as u64,
             source: prefilled.source.clone(),
@@ -263,7 +263,7 @@
             skip: self.tokens_sent,
             key: self.ticket.key.as_ref().map(|key| key.text.clone()),
         });
-        decode.run.send(order);
+        decode.run.send(message);
         self.stream().await
     }
 
@@ -291,8 +291,8 @@
         }
     }
 
-    // A decode answers with one JSON line for each token. Returns false if a token cannot be sent
-    // to the caller.
+    // The response body of a decode has one JSON line for each token. Returns false if a token
+    // cannot be sent to the caller.
     async fn handle_bytes(&mut self, bytes: &[u8]) -> bool {
         self.partial_line.extend_from_slice(bytes);
         while let Some(end) = self.partial_line.iter().position(|byte| *byte == b'\n') {
