--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -104,14 +104,14 @@
         let Some(peer) = self.ticket.entry.peers.get(server) else {
             return self.failure_event(Some(server.clone()), unreachable);
         };
-        let Some(contact) = peer.connect().await else {
+        let Some(agent) = peer.connect().await else {
             return self.failure_event(Some(server.clone()), unreachable);
         };
         let run_id = self.ticket.entry.peers.next_run_id();
-        let order = message::ToAgent::Offer(offer::Offer {
+        let message = message::ToAgent::Offer(offer::Offer {
             run: run_id,
             key: self.ticket.key.as_ref().map(|key| key.hash),
-            start_by_ms: contact.clock_at(self.ticket.deadline),
+            start_by_ms: agent.clock_at(self.ticket.deadline),
             limit_ms: self.ticket.time_left().as_millis() as u64,
             excess: self.ticket.excess,
             method: self.call.method.to_string(),
@@ -119,7 +119,7 @@
             headers: end_to_end(&self.call.headers),
             body: self.call.body.to_vec(),
         });
-        let mut run = peer.start(run_id, contact, order);
+        let mut run = peer.start(run_id, agent, message);
         loop {
             match self.responder.wait(run.next(), self.ticket.deadline).await {
                 responder::WaitOutcome::Event(channel::Event::Head(head)) => {
