--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -14,7 +14,7 @@
 
 /// Time between two checks of an open connection.
 const CHECK_PERIOD: time::Duration = time::Duration::from_millis(100);
-/// A connection on which a probe is not answered within this time is closed.
+/// A connection on which a probe, a ping before use, is not answered within this time is closed.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 /// Pause before the next attempt to connect.
 const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(100);
@@ -193,7 +193,8 @@
         if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(event) {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         }
-        // Runs that were cancelled in the meantime need no connection.
+        // Commands received while disconnected: new runs are refused, cancelled runs need no
+        // connection.
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 channel::Command::Open { sink, .. } => {
@@ -215,6 +216,7 @@
         }
     }
 
+    // Returns false if the connection is to be closed.
     async fn handle_command(
         &mut self,
         command: channel::Command,
@@ -245,6 +247,7 @@
         }
     }
 
+    // Returns false if the connection is to be closed.
     async fn handle_message(
         &mut self,
         message: message::ToEntry,
@@ -279,12 +282,13 @@
         }
     }
 
-    // Drops a run whose event buffer is full, so that its request sees a lost connection, or whose
-    // request has ended, which cancels the run at the agent.
+    // Forwards an event to the request of a run. If its event buffer is full, the run is dropped
+    // and the request sees a lost connection. The run is also dropped if the request has ended,
+    // which has cancelled it at the agent.
     fn forward(&mut self, run: ids::RunId, event: channel::Event, is_last: bool) -> bool {
         if let Some(open) = self.runs.get(&run) {
-            let is_full = open.sink.try_send(event).is_err();
-            if is_last || is_full {
+            let is_rejected = open.sink.try_send(event).is_err();
+            if is_last || is_rejected {
                 self.runs.remove(&run);
             }
         }
@@ -310,7 +314,7 @@
                 self.forward(chunk.run, channel::Event::Bytes(bytes), false)
             }
             Err(gap) => {
-                tracing::warn!("entry: {gap}");
+                tracing::warn!("entry: gap in a response from {}: {gap}", self.server);
                 false
             }
         }
