--- a/crates/entry/src/connector.rs
+++ b/crates/entry/src/connector.rs
@@ -19,7 +19,7 @@
 const PING_SEND_IDLE: time::Duration = time::Duration::from_millis(1200);
 /// A connection without open runs is pinged when nothing was sent or received for this long.
 const PING_IDLE: time::Duration = time::Duration::from_secs(20);
-/// Received messages that may wait to be handled.
+/// Maximum number of received messages that wait to be handled.
 const RECEIVE_BUFFER: usize = 1024;
 
 /// Identity of the entry towards agents.
@@ -43,6 +43,7 @@
 }
 
 impl Connection {
+    /// Sends a message; false if it cannot be written within the ping timeout.
     pub(crate) async fn send(&mut self, message: &message::ToAgent) -> bool {
         self.sent_at = clock::now();
         // A frozen agent reads nothing, so a full send buffer must not block the task.
@@ -50,6 +51,7 @@
         matches!(tokio::time::timeout(PING_TIMEOUT, writing).await, Ok(Ok(())))
     }
 
+    /// Whether the connection has been idle for too long and no ping awaits its answer.
     pub(crate) fn is_ping_due(&self, has_runs: bool, now: time::Instant) -> bool {
         let (receive_idle, send_idle) =
             if has_runs { (PING_RECEIVE_IDLE, PING_SEND_IDLE) } else { (PING_IDLE, PING_IDLE) };
@@ -107,7 +109,7 @@
     }
 }
 
-/// Requests the service list of the agent at `address`, on a separate connection.
+/// Requests the service list from the agent at `address`, on a separate connection.
 pub(crate) async fn fetch_list(
     identity: &Identity,
     address: net::SocketAddr,
