--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -59,7 +59,7 @@
         locks::lock(&self.peers).retain(|name, _| listed.contains(name));
     }
 
-    /// Requests the service list of the agent at `address`.
+    /// Requests the service list from the agent at `address`.
     pub(crate) async fn fetch_list(&self, address: net::SocketAddr) -> Option<message::ListCopy> {
         connector::fetch_list(&self.identity, address).await
     }
