--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -31,8 +31,8 @@
 
 /// A connection is used without a probe if the agent reported its state within this time.
 const PROBE_AFTER: time::Duration = time::Duration::from_secs(2);
-/// Events that may wait for a request. The agent limits the bytes of a response, which bounds the
-/// memory of a full buffer.
+/// Maximum number of events that wait for a request. The agent limits the bytes of a response,
+/// which bounds the memory of a full buffer.
 const EVENT_BUFFER: usize = 8192;
 
 impl Peer {
