--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -24,11 +24,13 @@
 pub(crate) enum Action {
     /// Resume the open runs.
     ResumeRuns,
-    /// Fail the open runs: the agent has restarted or could not be reached for too long.
+    /// Fail the open runs: the agent has restarted, nothing listens at its address, or it could not
+    /// be reached for too long.
     FailRuns,
 }
 
-/// Time without a connection after which the agent has lost the entry's runs.
+/// Time without a connection after which the open runs fail. The agent cancels them as orphans 2 s
+/// after the loss of contact.
 pub(crate) const CONTACT_GRACE: time::Duration = time::Duration::from_millis(1800);
 
 /// Lifecycle of the connection to one agent.
