--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -72,7 +72,8 @@
     }
 }
 
-// Agents send their list while the table is unavailable.
+// While the table is unavailable, requests the list from a followed agent, or from the seeds if no
+// agent is followed.
 async fn request_from_agents(entry: &Shared) {
     let followed = entry.directory.view().followed();
     for (server, _) in followed.iter().take(1) {
