--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -38,6 +38,7 @@
     pub log: logs::Options,
 }
 
+/// Default for `max_body`, in bytes.
 const DEFAULT_MAX_BODY: usize = 2 * 1024 * 1024;
 const DEFAULT_CONNECTIONS: usize = 4096;
 const DEFAULT_SUBSET: usize = 12;
