--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -54,7 +54,7 @@
         is_new
     }
 
-    /// Applies the service list of an agent, and its instance list if the entry has none.
+    /// Applies the service list from an agent, and its instance list if the entry has none.
     pub(crate) fn apply_copy(&self, copy: &message::ListCopy) {
         for update in service_list::from_list_copy(copy) {
             self.apply_update(&update);
