--- a/crates/entry/src/ledger.rs
+++ b/crates/entry/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::entry;
 
-const STORE_RETRY: time::Duration = time::Duration::from_secs(1);
+const STORE_RETRY_DELAY: time::Duration = time::Duration::from_secs(1);
 
 /// Closes and stores a usage record in each interval, until the task is aborted.
 pub(crate) async fn flush_periodically(entry: sync::Arc<entry::Entry>) {
@@ -20,7 +20,8 @@
         }
         let is_stored = store_all(&entry).await;
         let until_due = due.saturating_duration_since(clock::now());
-        let pause = if is_stored { until_due } else { until_due.min(clock::jitter(STORE_RETRY)) };
+        let pause =
+            if is_stored { until_due } else { until_due.min(clock::jitter(STORE_RETRY_DELAY)) };
         tokio::time::sleep(pause.max(time::Duration::from_millis(10))).await;
     }
 }
