--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -35,7 +35,7 @@
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
     pub(crate) slots: slots::Slots,
-    pub(crate) pace: prefill_time::PrefillTime,
+    pub(crate) prefill_time: prefill_time::PrefillTime,
     pub(crate) revisions: revisions::Revisions,
     /// Listed servers that are missing from the instance list.
     pub(crate) gone_servers: collections::BTreeSet<ids::ServerName>,
@@ -118,7 +118,7 @@
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
             slots: slots::Slots::new(0, settings.queue, RESERVATION_TIMEOUT),
-            pace: prefill_time::PrefillTime::default(),
+            prefill_time: prefill_time::PrefillTime::default(),
             revisions: revisions::Revisions::default(),
             gone_servers: collections::BTreeSet::new(),
             instances: Vec::new(),
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -96,7 +96,7 @@
             (reserve.excess, time::Duration::ZERO, agent.instant_at(reserve.wait_by_ms))
         }
         Job::Prefill(prefill) => {
-            let work = state.pace.estimate(prefill.prompt.len() as u32);
+            let work = state.prefill_time.estimate(prefill.prompt.len() as u32);
             let due = prefill_time::PromptDeadline {
                 first_token: agent.instant_at(prefill.due_ms),
                 max_wait: time::Duration::from_millis(prefill.max_wait_ms),
--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -58,6 +58,6 @@
     let mut state = agent.lock();
     let concurrent = state.slots.load(clock::now()).held.max(1);
     let work = elapsed / concurrent;
-    state.pace.record(size, work);
+    state.prefill_time.record(size, work);
     work
 }
