--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -212,7 +212,7 @@
             }
         }
         message::ToAgent::WantList(version) => {
-            if let Some(copy) = lists::copy_for(agent, version) {
+            if let Some(copy) = lists::copy_since(agent, version) {
                 let _ = sender.send(message::ToEntry::List(copy)).await;
             }
         }
--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Updates for a peer that has `version`; `None` if it is up to date.
-pub(crate) fn copy_for(
+/// Update for a peer that has `version`; `None` if it is up to date.
+pub(crate) fn copy_since(
     agent: &agent::Agent,
     version: ids::ListVersion,
 ) -> Option<message::ListCopy> {
