--- a/crates/agent/src/prefill.rs
+++ b/crates/agent/src/prefill.rs
@@ -47,14 +47,14 @@
     }
     let reply: Reply = serde_json::from_slice(&reply.body).map_err(|_| failed)?;
     let Reply { source, handle, tokens } = reply;
-    let work = update_pace(agent, request.prompt.len() as u32, elapsed);
+    let work = record_work(agent, request.prompt.len() as u32, elapsed);
     let work_us = work.as_micros() as u64;
     Ok(message::Prefilled { run: request.run, source, handle, tokens, work_us })
 }
 
-// Updates the estimate of the engine's pace and returns the work of this prompt. Concurrent prompts
-// share the engine's speed, so the elapsed time is divided by their number.
-fn update_pace(agent: &agent::Agent, size: u32, elapsed: time::Duration) -> time::Duration {
+// Updates the estimate of the engine's prefill time and returns the work of this prompt. Concurrent
+// prompts share the engine's speed, so the elapsed time is divided by their number.
+fn record_work(agent: &agent::Agent, size: u32, elapsed: time::Duration) -> time::Duration {
     let mut state = agent.lock();
     let concurrent = state.slots.load(clock::now()).held.max(1);
     let work = elapsed / concurrent;
