--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -87,7 +87,7 @@
 const ORPHAN_GRACE: time::Duration = time::Duration::from_secs(2);
 /// Time after which an unclaimed reservation of a slot expires.
 const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// Window for key records until the service list sets that of the service.
+/// Retention window of key records until the service list sets that of the service.
 const INITIAL_WINDOW: time::Duration = time::Duration::from_secs(600);
 
 impl AgentMetrics {
@@ -177,7 +177,7 @@
 }
 
 impl State {
-    /// Load report.
+    /// Current load, for the reports to entries.
     pub(crate) fn load(&self) -> load::Load {
         load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
@@ -190,15 +190,17 @@
     /// Marks the key history as complete in the first process of a recently listed server.
     ///
     /// A process that starts while the table is unavailable is not registered, but may run keys
-    /// once it has waited for the window after the listing of its server. A missing row is
-    /// therefore no proof for long: it counts for half the window after the listing.
+    /// once it has waited for the window after the listing of its server. A missing row therefore
+    /// proves a complete history only for half the window after the listing.
     pub(crate) fn mark_first_complete(&mut self, server: &str) {
         let Some(service) = self.service(server).filter(|_| self.first_process) else { return };
         let listed = self.revisions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
             self.gate.mark_history_complete();
             self.first_process = false;
-            tracing::info!("agent: first process of its server; its key history is complete");
+            tracing::info!(
+                "agent: this server has no earlier process; its key history is complete"
+            );
         }
     }
 
