--- a/crates/agent/src/lists.rs
+++ b/crates/agent/src/lists.rs
@@ -145,12 +145,12 @@
         let version = agent.lock().revisions.version();
         let update = match service_list::read_update(&agent.table, version).await {
             Ok(update) => update,
-            Err(err) => return tracing::debug!("agent: reading the list failed: {err}"),
+            Err(err) => return tracing::debug!("agent: cannot read the service list: {err}"),
         };
         if apply(agent, &update) {
             continue;
         }
-        // A change that does not apply to the current revision: read the whole list.
+        // The change does not apply to the current revision, so the whole list is read.
         if matches!(update, service_list::ListUpdate::Change(_, _))
             && let Ok(whole) = service_list::read_update(&agent.table, 0).await
         {
