--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -18,12 +18,13 @@
 const CONTACT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// A link without open runs is closed after this time without a message.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
-/// Messages queued from one entry.
+/// Maximum number of messages queued from one entry.
 const INBOUND_QUEUE: usize = 256;
-/// Ended runs are pruned when the runs reach twice their number after the last pruning plus this.
+/// Ended runs are removed from a link's set when the set has grown to twice its size after the last
+/// removal plus this margin.
 const PRUNE_MARGIN: usize = 64;
 const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Messages queued to one entry.
+/// Maximum number of messages queued to one entry.
 const OUTBOUND_QUEUE: usize = 1024;
 const MAX_LINKS: usize = 2048;
 const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
@@ -139,8 +140,8 @@
     }
 }
 
-// Handles messages until the link closes or times out: soon if the entry has open runs, later if it
-// has none.
+// Handles messages until the link closes or times out: after `CONTACT_TIMEOUT` if the entry has
+// open runs, otherwise after `IDLE_TIMEOUT`.
 async fn handle_messages(
     agent: &Shared,
     mut inbound: mpsc::Receiver<Result<message::ToAgent, frame::FrameError>>,
