--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -5,7 +5,7 @@
 use rhubarb_core::{ids, list};
 use rhubarb_wire::{message, offer};
 
-/// Sends messages to one entry.
+/// Sender of messages to one entry.
 pub(crate) type Sender = mpsc::Sender<message::ToEntry>;
 
 /// Job that waits for a slot.
