--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -227,8 +227,8 @@
     }
 }
 
-/// Resumes the response of a run. A run without one is withdrawn: if it has not started, it never
-/// will.
+/// Resumes the response of a run. A run without a response is withdrawn, which keeps one that has not
+/// started from starting.
 pub(crate) fn resume(agent: &Shared, resume: message::Resume, sender: &Sender) {
     let now = clock::now();
     let mut state = agent.lock();
