--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the agent's process.
+//! Startup and graceful shutdown of the agent's process.
 
 use std::{sync, time};
 
@@ -8,7 +8,7 @@
 
 const DRAIN_POLL_PERIOD: time::Duration = time::Duration::from_millis(20);
 
-/// Runs an agent until a stop signal, then drains it.
+/// Runs an agent until it receives a stop signal, then drains it.
 ///
 /// # Errors
 /// Returns an error if an address cannot be bound or signals cannot be caught.
@@ -35,7 +35,7 @@
 
 // Refuses new runs and waits for open ones, then hands the key records over.
 async fn drain(agent: &agent::Agent) {
-    tracing::info!("agent: stopping; waiting for open runs");
+    tracing::info!("agent: draining; waiting for open runs");
     agent.lock().gate.leave();
     let start = clock::now();
     let limit = agent.settings.drain;
