--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -36,7 +36,7 @@
     cancel_id(agent, None).await;
 }
 
-// Cancels one run, or all without an id.
+// Cancels the run with this id, or all runs if there is none.
 async fn cancel_id(agent: &agent::Agent, id: Option<String>) {
     let url = format!("{}/cancel", agent.settings.engine);
     for _ in 0..MAX_CANCEL_ATTEMPTS {
