--- a/crates/agent/src/plain.rs
+++ b/crates/agent/src/plain.rs
@@ -24,7 +24,7 @@
     output: &output::Output,
 ) -> Result<(), Refusal> {
     let request = build(agent, &offer).map_err(|err| {
-        tracing::warn!("agent: request cannot be built: {err}");
+        tracing::warn!("agent: cannot build the request to the backend server: {err}");
         Refusal::permanent(Reason::BadRequest)
     })?;
     {
