--- a/crates/agent/src/model_loader.rs
+++ b/crates/agent/src/model_loader.rs
@@ -24,7 +24,7 @@
     has_depends: bool,
 }
 
-/// Keeps the engine on the listed model until the task is dropped.
+/// Loads the listed model whenever the engine runs another one, until the task is dropped.
 pub(crate) async fn run(agent: sync::Arc<agent::Agent>) {
     loop {
         let Some(task) = next_task(&agent) else {
@@ -81,11 +81,15 @@
     match agent.client.post_json(&url, &content, LOAD_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => {}
         Ok(reply) => {
-            tracing::warn!("agent: engine rejected the model: status {}", reply.status);
+            tracing::warn!(
+                "agent: engine rejected model {}: status {}",
+                wanted.weights,
+                reply.status
+            );
             return false;
         }
         Err(err) => {
-            tracing::warn!("agent: loading the model failed: {err}");
+            tracing::warn!("agent: cannot load model {}: {err}", wanted.weights);
             return false;
         }
     }
