--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -19,19 +19,20 @@
     pub http: net::SocketAddr,
     /// Base URL of the backend server.
     pub engine: String,
-    /// Slots of a prefill engine: prompts that it works on at once.
+    /// Slots of a prefill engine: prompts that it processes concurrently.
     pub prefills: u32,
     /// Maximum number of requests queued at the agent.
     pub queue: usize,
     /// Maximum number of key records.
     pub max_keys: usize,
-    /// Bytes of responses kept for idempotency keys from which on further keys are refused.
+    /// Size of the responses kept for idempotency keys at which requests with a new key are
+    /// refused, in bytes.
     pub max_answers: usize,
     /// Maximum duration of the drain after a stop signal.
     pub drain: time::Duration,
     /// Minimum duration of the drain, in which entries receive reports that the agent is leaving.
     pub notice: time::Duration,
-    /// Shared keys of the deployment, for signatures.
+    /// Shared keys of the deployment.
     pub keys: auth::Keys,
     /// Base URLs of the platform's services.
     pub platform: shared_settings::PlatformUrls,
