--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -32,9 +32,9 @@
     pub seeds: Vec<net::SocketAddr>,
     /// Shared keys of the deployment.
     pub keys: auth::Keys,
-    /// Base URLs of the platform.
+    /// Base URLs of the platform's services.
     pub platform: shared_settings::PlatformUrls,
-    /// Log options.
+    /// Log format and level.
     pub log: logs::Options,
 }
 
