--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -153,7 +153,7 @@
         let mut ticks = tokio::time::interval(CHECK_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let is_healthy = tokio::select! {
+            let stays_open = tokio::select! {
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle_command(command, &mut connection).await,
                     None => break,
@@ -167,7 +167,7 @@
                 },
                 _ = ticks.tick() => self.keep_alive(&mut connection).await,
             };
-            if !is_healthy {
+            if !stays_open {
                 break;
             }
         }
