--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -35,7 +35,7 @@
 pub(crate) struct State {
     pub(crate) gate: gate::Gate,
     pub(crate) slots: slots::Slots,
-    pub(crate) pace: prefill_time::PrefillTime,
+    pub(crate) prefill_time: prefill_time::PrefillTime,
     pub(crate) revisions: revisions::Revisions,
     /// Listed servers that are missing from the instance list.
     pub(crate) gone_servers: collections::BTreeSet<ids::ServerName>,
@@ -87,7 +87,7 @@
 const ORPHAN_GRACE: time::Duration = time::Duration::from_secs(2);
 /// Time after which an unclaimed reservation of a slot expires.
 const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// Window for key records until the service list sets that of the service.
+/// Retention window of key records until the service list sets that of the service.
 const INITIAL_WINDOW: time::Duration = time::Duration::from_secs(600);
 
 impl AgentMetrics {
@@ -118,7 +118,7 @@
         let state = State {
             gate: gate::Gate::new(settings.server.clone(), limits, now),
             slots: slots::Slots::new(0, settings.queue, RESERVATION_TIMEOUT),
-            pace: prefill_time::PrefillTime::default(),
+            prefill_time: prefill_time::PrefillTime::default(),
             revisions: revisions::Revisions::default(),
             gone_servers: collections::BTreeSet::new(),
             instances: Vec::new(),
@@ -177,7 +177,7 @@
 }
 
 impl State {
-    /// Load report.
+    /// Current load, for the reports to entries.
     pub(crate) fn load(&self) -> load::Load {
         load::Load { leaving: self.gate.is_leaving(), ..self.slots.load(clock::now()) }
     }
@@ -190,15 +190,17 @@
     /// Marks the key history as complete in the first process of a recently listed server.
     ///
     /// A process that starts while the table is unavailable is not registered, but may run keys
-    /// once it has waited for the window after the listing of its server. A missing row is
-    /// therefore no proof for long: it counts for half the window after the listing.
+    /// once it has waited for the window after the listing of its server. A missing row therefore
+    /// proves a complete history only for half the window after the listing.
     pub(crate) fn mark_first_complete(&mut self, server: &str) {
         let Some(service) = self.service(server).filter(|_| self.first_process) else { return };
         let listed = self.revisions.current().listed_ago(server, clock::unix_ms());
         if listed.is_some_and(|ago| ago < service.window / 2) {
             self.gate.mark_history_complete();
             self.first_process = false;
-            tracing::info!("agent: first process of its server; its key history is complete");
+            tracing::info!(
+                "agent: this server has no earlier process; its key history is complete"
+            );
         }
     }
 
--- a/crates/agent/src/jobs.rs
+++ b/crates/agent/src/jobs.rs
@@ -96,7 +96,7 @@
             (reserve.excess, time::Duration::ZERO, agent.instant_at(reserve.wait_by_ms))
         }
         Job::Prefill(prefill) => {
-            let work = state.pace.estimate(prefill.prompt.len() as u32);
+            let work = state.prefill_time.estimate(prefill.prompt.len() as u32);
             let due = prefill_time::PromptDeadline {
                 first_token: agent.instant_at(prefill.due_ms),
                 max_wait: time::Duration::from_millis(prefill.max_wait_ms),
@@ -227,8 +227,8 @@
     }
 }
 
-/// Resumes the response of a run. A run without one is withdrawn: if it has not started, it never
-/// will.
+/// Resumes the response of a run. A run without a response is withdrawn, which keeps one that has not
+/// started from starting.
 pub(crate) fn resume(agent: &Shared, resume: message::Resume, sender: &Sender) {
     let now = clock::now();
     let mut state = agent.lock();
--- a/crates/entry/src/connection_manager.rs
+++ b/crates/entry/src/connection_manager.rs
@@ -14,7 +14,7 @@
 
 /// Time between two checks of an open connection.
 const CHECK_PERIOD: time::Duration = time::Duration::from_millis(100);
-/// A connection on which a probe is not answered within this time is closed.
+/// A connection on which a probe, a ping before use, is not answered within this time is closed.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 /// Pause before the next attempt to connect.
 const RECONNECT_DELAY: time::Duration = time::Duration::from_millis(100);
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 struct OpenRun {
     sink: channel::Sink,
-    assembly: reassembly::Reassembly,
+    reassembly: reassembly::Reassembly,
     has_head: bool,
 }
 
@@ -144,7 +144,7 @@
 
     async fn resume_all(&mut self, connection: &mut connector::Connection) {
         for (run, open) in &self.runs {
-            let resume = message::Resume { run: *run, offset: open.assembly.offset() };
+            let resume = message::Resume { run: *run, offset: open.reassembly.offset() };
             connection.send(&message::ToAgent::Resume(resume)).await;
         }
     }
@@ -153,7 +153,7 @@
         let mut ticks = tokio::time::interval(CHECK_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let is_healthy = tokio::select! {
+            let stays_open = tokio::select! {
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle_command(command, &mut connection).await,
                     None => break,
@@ -167,7 +167,7 @@
                 },
                 _ = ticks.tick() => self.keep_alive(&mut connection).await,
             };
-            if !is_healthy {
+            if !stays_open {
                 break;
             }
         }
@@ -193,7 +193,8 @@
         if let Some(lifecycle::Action::FailRuns) = self.lifecycle.handle(event) {
             self.fail_all(Refusal::unknown(Reason::LostContact, RETRY_SOON));
         }
-        // Runs that were cancelled in the meantime need no connection.
+        // Commands received while disconnected: new runs are refused, cancelled runs need no
+        // connection.
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 channel::Command::Open { sink, .. } => {
@@ -215,6 +216,7 @@
         }
     }
 
+    // Returns false if the connection is to be closed.
     async fn handle_command(
         &mut self,
         command: channel::Command,
@@ -233,8 +235,8 @@
                     let _ = sink.try_send(channel::Event::Refused(refusal));
                     return true;
                 }
-                let assembly = reassembly::Reassembly::default();
-                self.runs.insert(run, OpenRun { sink, assembly, has_head: false });
+                let reassembly = reassembly::Reassembly::default();
+                self.runs.insert(run, OpenRun { sink, reassembly, has_head: false });
                 connection.send(&message).await && self.keep_alive(connection).await
             }
             channel::Command::Send(message) => connection.send(&message).await,
@@ -245,6 +247,7 @@
         }
     }
 
+    // Returns false if the connection is to be closed.
     async fn handle_message(
         &mut self,
         message: message::ToEntry,
@@ -279,12 +282,13 @@
         }
     }
 
-    // Drops a run whose event buffer is full, so that its request sees a lost connection, or whose
-    // request has ended, which cancels the run at the agent.
+    // Forwards an event to the request of a run. If its event buffer is full, the run is dropped
+    // and the request sees a lost connection. The run is also dropped if the request has ended,
+    // which has cancelled it at the agent.
     fn forward(&mut self, run: ids::RunId, event: channel::Event, is_last: bool) -> bool {
         if let Some(open) = self.runs.get(&run) {
-            let is_full = open.sink.try_send(event).is_err();
-            if is_last || is_full {
+            let is_rejected = open.sink.try_send(event).is_err();
+            if is_last || is_rejected {
                 self.runs.remove(&run);
             }
         }
@@ -303,14 +307,14 @@
     // After a gap the connection is reopened, and every run is resumed at its offset.
     fn handle_chunk(&mut self, chunk: chunk::Chunk) -> bool {
         let Some(open) = self.runs.get_mut(&chunk.run) else { return true };
-        match open.assembly.accept(chunk.offset, &chunk.bytes) {
+        match open.reassembly.accept(chunk.offset, &chunk.bytes) {
             Ok([]) => true,
             Ok(fresh) => {
                 let bytes = fresh.to_vec();
                 self.forward(chunk.run, channel::Event::Bytes(bytes), false)
             }
             Err(gap) => {
-                tracing::warn!("entry: {gap}");
+                tracing::warn!("entry: gap in a response from {}: {gap}", self.server);
                 false
             }
         }
@@ -318,7 +322,7 @@
 
     fn handle_end(&mut self, end: message::End) -> bool {
         let Some(open) = self.runs.get(&end.run) else { return true };
-        if open.assembly.finish(end.length).is_err() {
+        if open.reassembly.finish(end.length).is_err() {
             return false;
         }
         self.forward(end.run, channel::Event::End, true)
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -32,12 +32,13 @@
     pub seeds: Vec<net::SocketAddr>,
     /// Shared keys of the deployment.
     pub keys: auth::Keys,
-    /// Base URLs of the platform.
+    /// Base URLs of the platform's services.
     pub platform: shared_settings::PlatformUrls,
-    /// Log options.
+    /// Log format and level.
     pub log: logs::Options,
 }
 
+/// Default for `max_body`, in bytes.
 const DEFAULT_MAX_BODY: usize = 2 * 1024 * 1024;
 const DEFAULT_CONNECTIONS: usize = 4096;
 const DEFAULT_SUBSET: usize = 12;
