--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -56,16 +56,16 @@
         (clock::now() - self.arrived).as_millis() as u64
     }
 
-    /// Withdraws `sends` requests from the shared retry budget after a failure at `server`.
+    /// Withdraws the `sends` requests of a retry, after a failure at `server`, from the budget.
     ///
-    /// Counts the retry if the budget allows it.
+    /// Returns whether the budget allows the retry, which is then counted.
     pub(crate) fn withdraw_retry(
         &self,
         server: Option<&ids::ServerName>,
         sends: u32,
         reason: outcome::Reason,
     ) -> bool {
-        let is_allowed = self.edge.directory().spend_repeats(&self.service, sends, clock::now());
+        let is_allowed = self.edge.directory().withdraw_retry(&self.service, sends, clock::now());
         if is_allowed {
             self.edge
                 .counters
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -14,8 +14,8 @@
 pub(crate) struct Service {
     pub(crate) pool: pool::Pool,
     pub(crate) engines: engines::Engines,
-    pub(crate) repeats: retry::SharedBudget,
-    queueing: queue_limit::QueueLimit,
+    pub(crate) retry_budget: retry::SharedBudget,
+    queue_limit: queue_limit::QueueLimit,
     retry_detectors: collections::BTreeMap<routing::RouteName, retry_detector::RetryDetector>,
 }
 
@@ -104,7 +104,7 @@
         let awaited = self
             .fleet
             .missing(now)
-            .map(|(key, left)| share::AwaitedServer { key: key.clone(), remaining: left });
+            .map(|(key, remaining)| share::AwaitedServer { key: key.clone(), remaining });
         self.rows.snapshot(awaited.collect())
     }
 
@@ -188,8 +188,8 @@
         let new_service = || Service {
             pool: new_pool(zone),
             engines: engines::Engines::default(),
-            repeats: retry::SharedBudget::new(allowance),
-            queueing: queue_limit::QueueLimit::default(),
+            retry_budget: retry::SharedBudget::new(allowance),
+            queue_limit: queue_limit::QueueLimit::default(),
             retry_detectors: collections::BTreeMap::new(),
         };
         self.services.entry(name.to_string()).or_insert_with(new_service)
@@ -237,11 +237,11 @@
     ) -> Choice {
         let criteria =
             pool::Criteria { tried, affinity: None, random: rand::random(), by_work: false };
-        let Service { pool, queueing, .. } = self.service(service);
+        let Service { pool, queue_limit, .. } = self.service(service);
         let Some(mut id) = pool.pick(criteria, now) else { return Choice::NoServer };
         let is_saturated = |id: &str| {
             let slots = pool.get(id).map_or(0, |server| server.load.slots);
-            queueing.limit(slots, target).is_some_and(|limit| pool.busy(id) >= limit)
+            queue_limit.limit(slots, target).is_some_and(|limit| pool.busy(id) >= limit)
         };
         if is_saturated(&id) {
             let all = pool.candidates(tried, |_| true, now);
@@ -257,15 +257,15 @@
         self.target(&id).map_or(Choice::NoServer, Choice::Server)
     }
 
-    /// Records a request whose caller waits for `left`; true if this time shows it to be a retry.
+    /// Records a request whose caller waits for another `remaining`; returns whether it is a retry.
     pub(crate) fn record_request(
         &mut self,
         service: &str,
         route: &str,
-        left: time::Duration,
+        remaining: time::Duration,
     ) -> bool {
         let detectors = &mut self.service(service).retry_detectors;
-        detectors.entry(route.to_string()).or_default().record(left)
+        detectors.entry(route.to_string()).or_default().record(remaining)
     }
 
     /// Records the duration of a plain request and the load that its server reported.
@@ -275,7 +275,7 @@
         duration: time::Duration,
         load: load::Load,
     ) {
-        self.service(service).queueing.record(duration, load);
+        self.service(service).queue_limit.record(duration, load);
     }
 
     /// Records the load that a server reported with a response.
@@ -295,7 +295,7 @@
     pub(crate) fn set_allowance(&mut self, allowance: retry::BudgetLimits) {
         self.allowance = allowance;
         for service in self.services.values_mut() {
-            service.repeats.set_limits(allowance);
+            service.retry_budget.set_limits(allowance);
         }
     }
 
@@ -304,9 +304,9 @@
         self.fleet.get(id).is_none_or(|instance| instance.leaving)
     }
 
-    /// Spends `sends` repeats from the retry budget of a service; false if too few are left.
-    pub(crate) fn spend_repeats(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
+    /// Withdraws the `sends` requests of a retry from a service's budget; false if it is too low.
+    pub(crate) fn withdraw_retry(&mut self, service: &str, sends: u32, now: time::Instant) -> bool {
         let entries = self.entry_count;
-        self.service(service).repeats.try_withdraw(sends, entries, now)
+        self.service(service).retry_budget.try_withdraw(sends, entries, now)
     }
 }
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -78,7 +78,7 @@
 
 async fn start(call: call::Call) -> Response<response::Body> {
     let in_flight = call::InFlight::new(&call.edge);
-    call.edge.directory().service(&call.service).repeats.record_request(clock::now());
+    call.edge.directory().service(&call.service).retry_budget.record_request(clock::now());
     let (reply, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
