--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: ids::ZoneName,
-    allowance: retry::BudgetLimits,
+    retry_limits: retry::BudgetLimits,
     config: Option<sync::Arc<routing::Config>>,
     /// Rows as read from the store.
     pub(crate) rows: rows::Rows,
@@ -75,10 +75,10 @@
 const INITIAL_ENTRIES: u32 = 8;
 
 impl Directory {
-    pub(crate) fn new(zone: &str, allowance: retry::BudgetLimits) -> Directory {
+    pub(crate) fn new(zone: &str, retry_limits: retry::BudgetLimits) -> Directory {
         Directory {
             zone: zone.to_string(),
-            allowance,
+            retry_limits,
             config: None,
             rows: rows::Rows::default(),
             fleet: fleet::Fleet::default(),
@@ -184,11 +184,11 @@
 
     /// The service `name`, created on first use.
     pub(crate) fn service(&mut self, name: &str) -> &mut Service {
-        let (zone, allowance) = (&self.zone, self.allowance);
+        let (zone, retry_limits) = (&self.zone, self.retry_limits);
         let new_service = || Service {
             pool: new_pool(zone),
             engines: engines::Engines::default(),
-            retry_budget: retry::SharedBudget::new(allowance),
+            retry_budget: retry::SharedBudget::new(retry_limits),
             queue_limit: queue_limit::QueueLimit::default(),
             retry_detectors: collections::BTreeMap::new(),
         };
@@ -291,11 +291,11 @@
         self.service(service).pool.update_load(id, load::Load { leaving, ..load }, now);
     }
 
-    /// Sets the bounds of the retry budgets.
-    pub(crate) fn set_allowance(&mut self, allowance: retry::BudgetLimits) {
-        self.allowance = allowance;
+    /// Sets the limits of the retry budgets.
+    pub(crate) fn set_retry_limits(&mut self, retry_limits: retry::BudgetLimits) {
+        self.retry_limits = retry_limits;
         for service in self.services.values_mut() {
-            service.retry_budget.set_limits(allowance);
+            service.retry_budget.set_limits(retry_limits);
         }
     }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -46,7 +46,7 @@
 
 impl Edge {
     pub(crate) fn new(settings: settings::Settings) -> Edge {
-        let directory = directory::Directory::new(&settings.zone, settings.allowance);
+        let directory = directory::Directory::new(&settings.zone, settings.retry_limits);
         let store = store::Store::new(client::Client::new(), settings.store_addr);
         let (incarnation, dates) = (rand::random(), dates::Dates::new());
         let ledger = usage::Ledger::new(settings.name.clone(), incarnation, dates.now_ms());
@@ -80,7 +80,7 @@
 
     /// Applies reloaded settings.
     pub(crate) fn set_settings(&self, settings: settings::Settings) {
-        self.directory().set_allowance(settings.allowance);
+        self.directory().set_retry_limits(settings.retry_limits);
         *locks::lock(&self.settings) = sync::Arc::new(settings);
     }
 
