--- a/crates/edge/src/cleanup.rs
+++ b/crates/edge/src/cleanup.rs
@@ -18,7 +18,7 @@
     request: Request<Full<Bytes>>,
 ) {
     let path = request.uri().path().to_string();
-    let sending = exchange::fetch(&edge.links, address, request);
+    let sending = exchange::fetch(&edge.connections, address, request);
     match tokio::time::timeout(TIMEOUT, sending).await {
         Ok(Ok(_)) => {}
         Ok(Err(err)) => {
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -16,7 +16,7 @@
     settings: sync::Mutex<sync::Arc<settings::Settings>>,
     pub(crate) incarnation: ids::Incarnation,
     pub(crate) store: store::Store,
-    pub(crate) links: connections::ConnectionPool,
+    pub(crate) connections: connections::ConnectionPool,
     pub(crate) counters: metrics::Counters,
     /// Notifies requests that wait for a decode slot that one may be free.
     pub(crate) slot_freed: lock::Notify,
@@ -55,7 +55,7 @@
             dates,
             ledger: sync::Mutex::new(ledger),
             store,
-            links: connections::ConnectionPool::default(),
+            connections: connections::ConnectionPool::default(),
             counters: metrics::Counters::new(),
             slot_freed: lock::Notify::new(),
             commitments_changed: lock::Notify::new(),
--- a/crates/edge/src/leader.rs
+++ b/crates/edge/src/leader.rs
@@ -178,7 +178,7 @@
     request: Request<Full<Bytes>>,
 ) -> Option<exchange::BufferedResponse> {
     let path = request.uri().path().to_string();
-    let response = exchange::fetch(&edge.links, target.address, request);
+    let response = exchange::fetch(&edge.connections, target.address, request);
     match tokio::time::timeout(CALL_TIMEOUT, response).await {
         Ok(Ok(read)) => Some(read),
         Ok(Err(err)) => {
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -131,7 +131,7 @@
         let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
         let sent_at = clock::now();
-        let sending = exchange::fetch(&edge.links, target.address, request);
+        let sending = exchange::fetch(&edge.connections, target.address, request);
         match self.reply.wait(sending, deadline).await {
             responder::WaitOutcome::Disconnected => Attempt::Disconnected,
             responder::WaitOutcome::Expired => {
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -122,7 +122,7 @@
     };
     let request = call.head.to_prefill(&headers, call.body.clone());
     let started = clock::now();
-    let sending = exchange::fetch(&call.edge.links, target.address, request);
+    let sending = exchange::fetch(&call.edge.connections, target.address, request);
     let result = match reply.wait(sending, deadline).await {
         responder::WaitOutcome::Disconnected => return PrefillResult::Disconnected,
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -160,7 +160,7 @@
     let Some(ttl) = hold_ttl(call) else { return HoldResult::Held };
     let id = reservation.target.id.clone();
     let request = calls::create_hold(&id, need.charge(), ttl);
-    let sending = exchange::fetch(&call.edge.links, reservation.target.address, request);
+    let sending = exchange::fetch(&call.edge.connections, reservation.target.address, request);
     let response = match tokio::time::timeout(HOLD_TIMEOUT, sending).await {
         Ok(Ok(response)) => response,
         Ok(Err(err)) => {
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -259,7 +259,7 @@
         };
         let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
-        let sending = edge.links.send(target.address, request);
+        let sending = edge.connections.send(target.address, request);
         SendResult::Sent(match self.reply.wait(sending, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
@@ -340,7 +340,7 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        exchange::read_all(&self.call.edge.links, pending).await;
+        exchange::read_all(&self.call.edge.connections, pending).await;
         if let Some(cache) = &self.cache {
             let expired = pool::ServerOutcome::Failure(Reason::LostContact);
             prefill::record_outcome(&self.call, &cache.server, expired);
@@ -355,7 +355,7 @@
         pending: connections::PendingResponse,
     ) -> flow::Event {
         let edge = self.call.edge.clone();
-        let reading = exchange::read_all(&edge.links, pending);
+        let reading = exchange::read_all(&edge.connections, pending);
         match self.reply.wait(reading, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
@@ -395,7 +395,7 @@
                     return self.interrupted(server, Reason::LostContact);
                 }
                 responder::WaitOutcome::Event(reader::Item::End) => {
-                    self.call.edge.links.put_back(pending.connection, idle_timeout);
+                    self.call.edge.connections.put_back(pending.connection, idle_timeout);
                     return flow::Event::Ended;
                 }
                 responder::WaitOutcome::Event(reader::Item::Event(event)) => event,
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -211,9 +211,9 @@
         if let Some(duration) = suspension.check(clock::now(), boot::time()) {
             let millis = duration.as_millis() as u64;
             tracing::warn!(millis, "edge: machine was suspended; idle connections closed");
-            edge.links.drop_idle();
+            edge.connections.drop_idle();
         }
-        edge.links.sweep();
+        edge.connections.sweep();
         let mut directory = edge.directory();
         while let Some(change) = directory.fleet.next_expired(clock::now()) {
             apply_change(&mut directory, Some(change), 0);
