--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::{Request, Response, body, client::conn::http1, header};
 use hyper_util::rt;
-use tokio::net as tcp;
+use tokio::net as tokio_net;
 
 use rhubarb_node::{clock, locks};
 use rhubarb_platform::response;
@@ -161,7 +161,7 @@
 }
 
 async fn connect(address: net::SocketAddr) -> io::Result<Connection> {
-    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, tcp::TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, tokio_net::TcpStream::connect(address));
     let stream =
         connecting.await.map_err(|_| io::Error::other("connection attempt timed out"))??;
     set_options(&stream)?;
@@ -179,7 +179,7 @@
 }
 
 /// Sets options that make a connection to an unresponsive peer fail instead of hang.
-pub(crate) fn set_options(stream: &tcp::TcpStream) -> io::Result<()> {
+pub(crate) fn set_options(stream: &tokio_net::TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, sync::atomic, time};
 
-use tokio::sync as lock;
+use tokio::sync as tokio_sync;
 
 use rhubarb_core::{ids, members, usage};
 use rhubarb_node::{client, clock, locks};
@@ -19,13 +19,13 @@
     pub(crate) connections: connections::ConnectionPool,
     pub(crate) counters: metrics::Counters,
     /// Notifies requests that wait for a decode slot that one may be free.
-    pub(crate) slot_freed: lock::Notify,
+    pub(crate) slot_freed: tokio_sync::Notify,
     /// Notifies the sender of commitments that this entry's commitments have changed.
-    pub(crate) commitments_changed: lock::Notify,
+    pub(crate) commitments_changed: tokio_sync::Notify,
     /// Notifies the fetcher of snapshots that a peer has newer rows of the store.
-    pub(crate) lag_detected: lock::Notify,
+    pub(crate) lag_detected: tokio_sync::Notify,
     /// Notifies the followers of the store that its feed does not deliver changes.
-    pub(crate) feed_stalled: lock::Notify,
+    pub(crate) feed_stalled: tokio_sync::Notify,
     /// Number of tables that cannot be read from the store.
     pub(crate) unavailable_tables: atomic::AtomicU64,
     /// Number of requests in progress.
@@ -57,10 +57,10 @@
             store,
             connections: connections::ConnectionPool::default(),
             counters: metrics::Counters::new(),
-            slot_freed: lock::Notify::new(),
-            commitments_changed: lock::Notify::new(),
-            lag_detected: lock::Notify::new(),
-            feed_stalled: lock::Notify::new(),
+            slot_freed: tokio_sync::Notify::new(),
+            commitments_changed: tokio_sync::Notify::new(),
+            lag_detected: tokio_sync::Notify::new(),
+            feed_stalled: tokio_sync::Notify::new(),
             unavailable_tables: atomic::AtomicU64::new(0),
             open_requests: atomic::AtomicU64::new(0),
             directory: sync::Mutex::new(directory),
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -2,7 +2,7 @@
 
 use std::{net, sync, sync::atomic, time};
 
-use tokio::{io, net as tcp, sync as lock};
+use tokio::{io, net as tokio_net, sync as tokio_sync};
 
 use rhubarb_node::clock;
 use rhubarb_platform::store;
@@ -37,7 +37,10 @@
 }
 
 /// Sends this entry's commitments to its peers; does not return.
-pub(crate) async fn send_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+pub(crate) async fn send_shares(
+    edge: sync::Arc<edge::Edge>,
+    socket: sync::Arc<tokio_net::UdpSocket>,
+) {
     let mut seq = 0;
     loop {
         // Wakes up after a change or at the end of the period.
@@ -96,7 +99,10 @@
 }
 
 /// Receives the commitments of the peers; does not return.
-pub(crate) async fn receive_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+pub(crate) async fn receive_shares(
+    edge: sync::Arc<edge::Edge>,
+    socket: sync::Arc<tokio_net::UdpSocket>,
+) {
     let mut buffer = vec![0; share::MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -152,8 +158,8 @@
 }
 
 /// Sends snapshots of the store to peers that request them; does not return.
-pub(crate) async fn serve_snapshots(edge: sync::Arc<edge::Edge>, listener: tcp::TcpListener) {
-    let permits = sync::Arc::new(lock::Semaphore::new(MAX_SNAPSHOTS));
+pub(crate) async fn serve_snapshots(edge: sync::Arc<edge::Edge>, listener: tokio_net::TcpListener) {
+    let permits = sync::Arc::new(tokio_sync::Semaphore::new(MAX_SNAPSHOTS));
     loop {
         let permit = permits.clone().acquire_owned().await;
         let Ok((mut stream, from)) = listener.accept().await else {
@@ -174,7 +180,7 @@
 }
 
 async fn send_snapshot(
-    stream: &mut tcp::TcpStream,
+    stream: &mut tokio_net::TcpStream,
     snapshot: &share::Snapshot,
 ) -> anyhow::Result<()> {
     connections::set_options(stream)?;
@@ -211,7 +217,7 @@
 }
 
 async fn fetch(from: net::SocketAddr) -> anyhow::Result<share::Snapshot> {
-    let stream = tcp::TcpStream::connect(from).await?;
+    let stream = tokio_net::TcpStream::connect(from).await?;
     connections::set_options(&stream)?;
     let mut bytes = Vec::new();
     let mut limited = io::AsyncReadExt::take(stream, share::MAX_SNAPSHOT_BYTES as u64);
--- a/crates/edge/src/run.rs
+++ b/crates/edge/src/run.rs
@@ -7,7 +7,7 @@
 use rhubarb_node::{clock, logs, metrics, response, server, signals};
 use rhubarb_platform::{paths, settings, store};
 
-use tokio::{sync as lock, task};
+use tokio::{sync as tokio_sync, task};
 
 use crate::{edge, ingress, leader, ledger, peers, reload, watch};
 
@@ -58,7 +58,7 @@
         header_bytes: MAX_HEADER_BYTES,
     };
     let shared = edge.clone();
-    let (close, closing) = lock::watch::channel(false);
+    let (close, closing) = tokio_sync::watch::channel(false);
     let serving =
         tokio::spawn(server::serve_with_shutdown(callers, limits, closing, move |request| {
             ingress::handle(shared.clone(), request)
@@ -96,7 +96,7 @@
 // none is cut off while the last record is written.
 async fn drain(
     edge: &edge::Edge,
-    close: &lock::watch::Sender<bool>,
+    close: &tokio_sync::watch::Sender<bool>,
     serving: task::JoinHandle<()>,
 ) {
     let open = || edge.open_requests.load(atomic::Ordering::Relaxed);
