--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -7,7 +7,7 @@
 
 use rhubarb_core::{flow, ids, outcome, pool};
 use rhubarb_node::{clock, responder, response};
-use rhubarb_platform::{request, response as forms};
+use rhubarb_platform::{request, response as platform_response};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -167,26 +167,26 @@
         sent_at: time::Instant,
         response: exchange::BufferedResponse,
     ) -> Attempt {
-        if let Some(load) = forms::reported_load(response.head.headers()) {
+        if let Some(load) = platform_response::reported_load(response.head.headers()) {
             let mut directory = self.call.edge.directory();
             if response.is_success() {
                 directory.record_service_time(&self.call.service, clock::now() - sent_at, load);
             }
             directory.update_load(&self.call.service, &target.id, load, clock::now());
         }
-        match forms::classify(&response.head, self.call.head.attempt.as_ref()) {
-            forms::HeadClass::NotRun => {
+        match platform_response::classify(&response.head, self.call.head.attempt.as_ref()) {
+            platform_response::HeadClass::NotRun => {
                 Attempt::Failed(Refusal::not_run(Reason::NoRoom, RETRY_SOON))
             }
-            forms::HeadClass::OtherServer => {
+            platform_response::HeadClass::OtherServer => {
                 Attempt::Failed(Refusal::not_run(Reason::Leaving, RETRY_SOON))
             }
-            forms::HeadClass::Invalid => {
+            platform_response::HeadClass::Invalid => {
                 Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON))
             }
-            forms::HeadClass::Valid => match response.body {
+            platform_response::HeadClass::Valid => match response.body {
                 Some(body) => {
-                    let head = forms::forwarded_head(&response.head);
+                    let head = platform_response::forwarded_head(&response.head);
                     Attempt::Completed(ServerResponse { head, body, server: target.id.clone() })
                 }
                 None => Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON)),
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, ids, outcome, pool};
 use rhubarb_node::{clock, metrics, responder};
-use rhubarb_platform::{engine, request, response as forms};
+use rhubarb_platform::{engine, request, response as platform_response};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -204,10 +204,12 @@
     target: &directory::Target,
     response: &exchange::BufferedResponse,
 ) -> Result<engine::Prefilled, Refusal> {
-    match forms::classify(&response.head, call.head.attempt.as_ref()) {
-        forms::HeadClass::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
-        forms::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
-        forms::HeadClass::Valid | forms::HeadClass::Invalid => {
+    match platform_response::classify(&response.head, call.head.attempt.as_ref()) {
+        platform_response::HeadClass::OtherServer => {
+            Err(Refusal::not_run(Reason::Leaving, RETRY_SOON))
+        }
+        platform_response::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
+        platform_response::HeadClass::Valid | platform_response::HeadClass::Invalid => {
             let body = response.body.as_ref().filter(|_| response.is_success());
             match body.map(|body| engine::read_prefilled(body)) {
                 Some(Ok(prefilled)) => Ok(prefilled),
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::outcome;
 use rhubarb_node::{metrics, response};
-use rhubarb_platform::response as forms;
+use rhubarb_platform::response as platform_response;
 
 use outcome::{Outcome, Reason, Refusal};
 
@@ -59,7 +59,7 @@
     // A retry delay tells the caller that the request did not run.
     let retry = refusal.retry.filter(|_| refusal.outcome == Outcome::NotRun);
     let text = format!("{refusal}\n");
-    forms::local_head(status(&refusal), attempt, retry).map(|()| response::full(text))
+    platform_response::local_head(status(&refusal), attempt, retry).map(|()| response::full(text))
 }
 
 fn status(refusal: &Refusal) -> StatusCode {
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -6,7 +6,7 @@
 
 use rhubarb_core::{engine, engines, fleet, ids, outcome, pool};
 use rhubarb_node::{clock, responder};
-use rhubarb_platform::engine as calls;
+use rhubarb_platform::engine as platform_engine;
 
 use outcome::{Reason, Refusal};
 
@@ -47,7 +47,7 @@
     fn drop(&mut self) {
         if let Some(hold) = self.hold.take() {
             let (edge, address) = (self.edge.clone(), self.target.address);
-            let request = calls::release_hold(&hold);
+            let request = platform_engine::release_hold(&hold);
             tokio::spawn(async move { cleanup::send(&edge, address, request).await });
         }
         let mut directory = self.edge.directory();
@@ -159,7 +159,7 @@
 ) -> HoldResult {
     let Some(ttl) = hold_ttl(call) else { return HoldResult::Held };
     let id = reservation.target.id.clone();
-    let request = calls::create_hold(&id, need.charge(), ttl);
+    let request = platform_engine::create_hold(&id, need.charge(), ttl);
     let sending = exchange::fetch(&call.edge.connections, reservation.target.address, request);
     let response = match tokio::time::timeout(HOLD_TIMEOUT, sending).await {
         Ok(Ok(response)) => response,
@@ -175,7 +175,7 @@
         }
     };
     let body = response.body.as_ref().filter(|_| response.is_success());
-    match body.map(|body| calls::read_hold(body)) {
+    match body.map(|body| platform_engine::read_hold(body)) {
         Some(Ok(hold)) => {
             reservation.hold = Some(hold);
             HoldResult::Held
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -8,7 +8,7 @@
 
 use rhubarb_core::{engine, engines, flow, ids, outcome, pool, routing, sse};
 use rhubarb_node::{clock, responder, response};
-use rhubarb_platform::{request, response as forms};
+use rhubarb_platform::{request, response as platform_response};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -312,14 +312,18 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        match forms::classify(&pending.response, self.call.head.attempt.as_ref()) {
-            forms::HeadClass::OtherServer => {
+        match platform_response::classify(&pending.response, self.call.head.attempt.as_ref()) {
+            platform_response::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
                 return self.failed(Some(server.clone()), refusal);
             }
-            forms::HeadClass::NotRun => return self.handle_not_run(server, pending).await,
-            forms::HeadClass::Invalid => return self.interrupted(server, Reason::LostContact),
-            forms::HeadClass::Valid => {}
+            platform_response::HeadClass::NotRun => {
+                return self.handle_not_run(server, pending).await;
+            }
+            platform_response::HeadClass::Invalid => {
+                return self.interrupted(server, Reason::LostContact);
+            }
+            platform_response::HeadClass::Valid => {}
         }
         if let Some(reservation) = &mut self.reservation {
             reservation.set_hold_used();
@@ -363,7 +367,9 @@
                 head,
                 body: Some(body),
             }) if !self.reply.has_started() => {
-                self.reply.respond(forms::forwarded_head(&head).map(|()| response::full(body)));
+                self.reply.respond(
+                    platform_response::forwarded_head(&head).map(|()| response::full(body)),
+                );
                 flow::Event::Ended
             }
             responder::WaitOutcome::Event(_) => self.interrupted(server, Reason::EngineFailed),
@@ -375,7 +381,7 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        let head = forms::forwarded_head(&pending.response);
+        let head = platform_response::forwarded_head(&pending.response);
         let idle_timeout = connections::idle_timeout(&pending.response);
         let mut reader = reader::Reader::new(pending.response.into_body());
         loop {
