--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -79,14 +79,14 @@
 async fn start(call: call::Call) -> Response<response::Body> {
     let in_flight = call::InFlight::new(&call.edge);
     call.edge.directory().service(&call.service).retry_budget.record_request(clock::now());
-    let (reply, receiver) = responder::Responder::new();
+    let (responder, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
         let _in_flight = in_flight;
         if is_model {
-            stream::Streaming::new(call, reply).drive().await;
+            stream::Streaming::new(call, responder).drive().await;
         } else {
-            plain::Plain::new(call, reply).drive().await;
+            plain::Plain::new(call, responder).drive().await;
         }
     });
     let failure = || {
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct Plain {
     call: call::Call,
-    reply: responder::Responder,
+    responder: responder::Responder,
     flow: flow::Flow,
     // Failure response of a server, which the caller gets if no other attempt succeeds.
     failure: Option<ServerResponse>,
@@ -45,9 +45,9 @@
 }
 
 impl Plain {
-    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Plain {
+    pub(crate) fn new(call: call::Call, responder: responder::Responder) -> Plain {
         let flow = flow::Flow::new(flow::Path::Direct, call.retry_policy(MAX_RETRIES));
-        Plain { call, reply, flow, failure: None, answer: None, estimate: None }
+        Plain { call, responder, flow, failure: None, answer: None, estimate: None }
     }
 
     /// Runs the request to its final outcome.
@@ -132,7 +132,7 @@
         let edge = self.call.edge.clone();
         let sent_at = clock::now();
         let sending = exchange::fetch(&edge.connections, target.address, request);
-        match self.reply.wait(sending, deadline).await {
+        match self.responder.wait(sending, deadline).await {
             responder::WaitOutcome::Disconnected => Attempt::Disconnected,
             responder::WaitOutcome::Expired => {
                 Attempt::Failed(Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
@@ -234,7 +234,7 @@
             age_ms = call.age_ms(),
             "edge: answered"
         );
-        self.reply.respond(response.head.map(|()| response::full(response.body)));
+        self.responder.respond(response.head.map(|()| response::full(response.body)));
     }
 
     fn refuse(&mut self, refusal: Refusal) {
@@ -244,7 +244,7 @@
         if let Some(failure) = self.failure.take() {
             return self.finish(failure);
         }
-        self.reply.respond(refuse::call_response(&self.call, refusal));
+        self.responder.respond(refuse::call_response(&self.call, refusal));
     }
 }
 
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -92,12 +92,12 @@
 /// Runs the prefill of `prompt`, preferably at a server that was not `tried`.
 pub(crate) async fn run(
     prompt: Prompt<'_>,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> PrefillResult {
     let mut tried = tried.to_vec();
     for _ in 0..MAX_UNSENT {
-        match run_once(prompt, reply, &tried).await {
+        match run_once(prompt, responder, &tried).await {
             PrefillResult::Unsent(server) => tried.push(server),
             result => return result,
         }
@@ -107,7 +107,7 @@
 
 async fn run_once(
     prompt: Prompt<'_>,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> PrefillResult {
     let call = prompt.call;
@@ -123,7 +123,7 @@
     let request = call.head.to_prefill(&headers, call.body.clone());
     let started = clock::now();
     let sending = exchange::fetch(&call.edge.connections, target.address, request);
-    let result = match reply.wait(sending, deadline).await {
+    let result = match responder.wait(sending, deadline).await {
         responder::WaitOutcome::Disconnected => return PrefillResult::Disconnected,
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
         responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -107,7 +107,7 @@
 /// attempt.
 pub(crate) async fn reserve(
     call: &call::Call,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     need: engine::Need,
     tried: &[ids::ServerName],
     limit: WaitLimit,
@@ -122,7 +122,7 @@
     loop {
         let slot_freed = call.edge.slot_freed.notified();
         while let Some(mut reservation) = try_reserve(call, position, need, &tried) {
-            match reply.wait(request_hold(call, &mut reservation, need), call.deadline).await {
+            match responder.wait(request_hold(call, &mut reservation, need), call.deadline).await {
                 responder::WaitOutcome::Event(HoldResult::Held) => {
                     log_estimate(call, &reservation.target.id, need, "edge: slot reserved");
                     return ReserveResult::Granted(reservation);
@@ -139,7 +139,7 @@
             return ReserveResult::Refused(no_slot());
         }
         let wake_at = until.min(clock::now() + RECHECK_INTERVAL);
-        if let responder::WaitOutcome::Disconnected = reply.wait(slot_freed, wake_at).await {
+        if let responder::WaitOutcome::Disconnected = responder.wait(slot_freed, wake_at).await {
             return ReserveResult::Disconnected;
         }
     }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct Streaming {
     call: call::Call,
-    reply: responder::Responder,
+    responder: responder::Responder,
     flow: flow::Flow,
     need: engine::Need,
     reservation: Option<reservation::Reservation>,
@@ -52,13 +52,13 @@
 const DEFAULT_NEED: engine::Need = engine::Need { prompt: 1_000, output: 500 };
 
 impl Streaming {
-    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Streaming {
+    pub(crate) fn new(call: call::Call, responder: responder::Responder) -> Streaming {
         let last_event = call.head.last_event;
         Streaming {
             need: call.head.need.unwrap_or(DEFAULT_NEED),
             flow: flow::Flow::new(flow::Path::Staged, call.retry_policy(flow::MAX_RETRIES)),
             call,
-            reply,
+            responder,
             reservation: None,
             failover: None,
             cache: None,
@@ -148,7 +148,7 @@
         let limit = self.slot_wait();
         let tried = self.flow.tried().to_vec();
         let result =
-            reservation::reserve(&self.call, &mut self.reply, self.need, &tried, limit).await;
+            reservation::reserve(&self.call, &mut self.responder, self.need, &tried, limit).await;
         match result {
             reservation::ReserveResult::Granted(reservation) => {
                 self.reservation = Some(reservation);
@@ -169,7 +169,7 @@
         let zone = self.decode_zone();
         let tried = self.flow.tried().to_vec();
         let prompt = prefill::Prompt { call: &self.call, zone: &zone, tokens: self.need.prompt };
-        match prefill::run(prompt, &mut self.reply, &tried).await {
+        match prefill::run(prompt, &mut self.responder, &tried).await {
             prefill::PrefillResult::Completed(cache) => {
                 self.cache = Some(cache);
                 flow::Event::Prefilled
@@ -229,7 +229,7 @@
                 self.cache.as_ref().map_or(clock::now(), |cache| cache.usable_until(&self.call));
             let result = reservation::reserve(
                 &self.call,
-                &mut self.reply,
+                &mut self.responder,
                 self.need,
                 &tried,
                 reservation::WaitLimit::until(usable_until),
@@ -260,7 +260,7 @@
         let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
         let sending = edge.connections.send(target.address, request);
-        SendResult::Sent(match self.reply.wait(sending, self.call.deadline).await {
+        SendResult::Sent(match self.responder.wait(sending, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
@@ -360,14 +360,14 @@
     ) -> flow::Event {
         let edge = self.call.edge.clone();
         let reading = exchange::read_all(&edge.connections, pending);
-        match self.reply.wait(reading, self.call.deadline).await {
+        match self.responder.wait(reading, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(exchange::BufferedResponse {
                 head,
                 body: Some(body),
-            }) if !self.reply.has_started() => {
-                self.reply.respond(
+            }) if !self.responder.has_started() => {
+                self.responder.respond(
                     platform_response::forwarded_head(&head).map(|()| response::full(body)),
                 );
                 flow::Event::Ended
@@ -385,7 +385,7 @@
         let idle_timeout = connections::idle_timeout(&pending.response);
         let mut reader = reader::Reader::new(pending.response.into_body());
         loop {
-            let event = match self.reply.wait(reader.next(), self.stall_deadline()).await {
+            let event = match self.responder.wait(reader.next(), self.stall_deadline()).await {
                 responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
                 responder::WaitOutcome::Expired if clock::now() >= self.call.deadline => {
                     return flow::Event::Expired;
@@ -423,10 +423,10 @@
         }
         let mut tried = self.flow.tried().to_vec();
         tried.push(server.clone());
-        let (call, reply) = (&self.call, &mut self.reply);
+        let (call, responder) = (&self.call, &mut self.responder);
         let result = reservation::reserve(
             call,
-            reply,
+            responder,
             self.need,
             &tried,
             reservation::WaitLimit::until(clock::now()),
@@ -465,12 +465,12 @@
                 return Some(self.interrupted(server, Reason::EngineFailed));
             }
         }
-        if !self.reply.has_started() {
+        if !self.responder.has_started() {
             self.first_at = Some(clock::now());
-            self.reply.start_stream(head.clone());
+            self.responder.start_stream(head.clone());
         }
         self.flow.handle(&flow::Event::Streamed);
-        if !self.reply.send(Bytes::from(event.bytes), self.call.deadline).await {
+        if !self.responder.send(Bytes::from(event.bytes), self.call.deadline).await {
             return Some(flow::Event::CallerGone);
         }
         self.last_event = event.id.or(self.last_event);
@@ -530,15 +530,15 @@
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
-        if self.reply.has_started() {
+        if self.responder.has_started() {
             refuse::record(&self.call, refusal);
-            return self.reply.abort(refusal.reason.name()).await;
+            return self.responder.abort(refusal.reason.name()).await;
         }
         if refusal.outcome == Outcome::Cancelled {
             return refuse::record(&self.call, refusal);
         }
         let response = refuse::call_response(&self.call, refusal);
-        self.reply.respond(response);
+        self.responder.respond(response);
     }
 }
 
