--- a/crates/ctl/src/survey.rs
+++ b/crates/ctl/src/survey.rs
@@ -6,7 +6,7 @@
 
 use rhubarb_core::{fleet, ids, routing};
 use rhubarb_node::{client, metrics};
-use rhubarb_platform::{config, entries, store};
+use rhubarb_platform::{config, registration, store};
 
 use crate::commands;
 
@@ -125,7 +125,7 @@
         let mut groups = collections::BTreeMap::new();
         let mut unreadable = Vec::new();
         for row in rows.rows {
-            match entries::read(&row.value.unwrap_or_default()) {
+            match registration::read(&row.value.unwrap_or_default()) {
                 Ok(instance) => note(&mut groups, instance),
                 Err(_) => unreadable.push(row.key),
             }
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, suspension};
 use rhubarb_node::clock;
-use rhubarb_platform::{config, entries, store};
+use rhubarb_platform::{config, registration, store};
 use rhubarb_wire::share;
 
 use crate::{boot, directory, edge};
@@ -149,7 +149,7 @@
 }
 
 fn set_server(edge: &edge::Edge, row: &store::Row) {
-    let parsed = row.value.as_ref().map(|value| entries::read(value));
+    let parsed = row.value.as_ref().map(|value| registration::read(value));
     let mut directory = edge.directory();
     let change = match parsed {
         Some(Ok(instance)) => directory.fleet.set(&row.key, instance),
