--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -189,7 +189,7 @@
             directory.fleet.keep_until(&key, now + server.remaining);
             tracing::info!(
                 server = key,
-                left = ?server.remaining,
+                remaining = ?server.remaining,
                 version,
                 "edge: missing server kept"
             );
@@ -202,15 +202,15 @@
     directory.set_fleet_known();
 }
 
-/// Removes servers whose rows did not return within the grace period, and closes idle connections;
-/// does not return.
+/// Removes servers whose rows did not return within the grace period, and closes expired idle
+/// connections; does not return.
 pub(crate) async fn sweep(edge: sync::Arc<edge::Edge>) {
     let mut suspension = suspension::Suspension::new(clock::now(), boot::time());
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
         if let Some(duration) = suspension.check(clock::now(), boot::time()) {
             let millis = duration.as_millis() as u64;
-            tracing::warn!(millis, "edge: machine was suspended; idle connections closed");
+            tracing::warn!(millis, "edge: instance was suspended; idle connections closed");
             edge.connections.drop_idle();
         }
         edge.connections.sweep();
