--- a/crates/edge/src/leader.rs
+++ b/crates/edge/src/leader.rs
@@ -141,8 +141,9 @@
 ) -> bool {
     let Some(target) = edge.directory().target(&change.id) else { return true };
     let (id, stage) = (target.id.as_str(), change.to);
-    let state = call(edge, &target, engine::report_request(id)).await;
-    let Some(state) = state.and_then(|read| read_state(id, &read)) else { return true };
+    let response = call(edge, &target, engine::report_request(id)).await;
+    let state = response.and_then(|response| read_state(id, &response));
+    let Some(state) = state else { return true };
     if state.is_busy || state.stage == Some(stage) {
         tracing::info!(server = id, to = ?stage, busy = state.is_busy, "edge: order not needed");
         return true;
@@ -151,8 +152,8 @@
     let order =
         engine::StageOrder { engine: id, stage, holder: &holder, fence, expected_orders: orders };
     set_changing(edge, service, id);
-    let status =
-        call(edge, &target, engine::stage_request(&order)).await.map(|read| read.head.status());
+    let response = call(edge, &target, engine::stage_request(&order)).await;
+    let status = response.map(|response| response.head.status());
     let code = status.map(|status| status.as_u16());
     tracing::info!(server = id, to = ?stage, fence, orders, status = code, "edge: order sent");
     if status.is_some_and(|status| !status.is_success()) {
@@ -161,8 +162,8 @@
     status != Some(StatusCode::PRECONDITION_FAILED)
 }
 
-fn read_state(id: &str, read: &exchange::BufferedResponse) -> Option<engine::EngineState> {
-    let body = read.body.as_ref().filter(|_| read.is_success())?;
+fn read_state(id: &str, response: &exchange::BufferedResponse) -> Option<engine::EngineState> {
+    let body = response.body.as_ref().filter(|_| response.is_success())?;
     match engine::read_report(body) {
         Ok(state) => Some(state),
         Err(err) => {
@@ -178,9 +179,9 @@
     request: Request<Full<Bytes>>,
 ) -> Option<exchange::BufferedResponse> {
     let path = request.uri().path().to_string();
-    let response = exchange::fetch(&edge.connections, target.address, request);
-    match tokio::time::timeout(CALL_TIMEOUT, response).await {
-        Ok(Ok(read)) => Some(read),
+    let sending = exchange::fetch(&edge.connections, target.address, request);
+    match tokio::time::timeout(CALL_TIMEOUT, sending).await {
+        Ok(Ok(response)) => Some(response),
         Ok(Err(err)) => {
             tracing::warn!(server = target.id, path, %err, "edge: engine not reached");
             None
