--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -18,8 +18,8 @@
 const BATCH_DELAY: time::Duration = time::Duration::from_millis(20);
 /// Interval between lookups of the instances in the store, before jitter.
 const DISCOVERY_PERIOD: time::Duration = time::Duration::from_secs(30);
-/// Interval between attempts at the addresses in the settings, before jitter; they end when as many
-/// peers are live.
+/// Interval between attempts to reach the seeds in the settings, which are made while fewer peers
+/// are live than there are seeds, and delay after a failed discovery; both before jitter.
 const SEED_PERIOD: time::Duration = time::Duration::from_secs(2);
 /// Minimum interval between fetches of snapshots.
 const FETCH_INTERVAL: time::Duration = time::Duration::from_millis(250);
@@ -231,7 +231,7 @@
     tokio::spawn(retry_seeds(edge.clone()));
     loop {
         if let Err(err) = exchange_addresses(&edge).await {
-            tracing::info!(%err, "edge: instances not read from the store");
+            tracing::info!(%err, "edge: peer discovery through the store failed");
             tokio::time::sleep(clock::jitter(SEED_PERIOD)).await;
             continue;
         }
