--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -62,7 +62,7 @@
 /// How long and with which precedence a request waits for a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitLimit {
-    /// Whether it can no longer meet its latency target; it is served after all that can.
+    /// Whether the request can no longer meet its latency target; it is served after all that can.
     pub(crate) overdue: bool,
     /// Time after which a slot is of no use.
     pub(crate) until: time::Instant,
@@ -86,7 +86,7 @@
     Disconnected,
 }
 
-/// Timeout of a request for a hold; a candidates engine responds within milliseconds.
+/// Timeout of a request for a hold; an engine responds within milliseconds.
 const HOLD_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 /// Typical error of the expected wait, in either direction.
 const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_000);
