--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -346,8 +346,8 @@
     ) -> flow::Event {
         exchange::read_all(&self.call.edge.connections, pending).await;
         if let Some(cache) = &self.cache {
-            let expired = pool::ServerOutcome::Failure(Reason::LostContact);
-            prefill::record_outcome(&self.call, &cache.server, expired);
+            let failure = pool::ServerOutcome::Failure(Reason::LostContact);
+            prefill::record_outcome(&self.call, &cache.server, failure);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
     }
