--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -61,9 +61,9 @@
 
 /// Outcome to record for a server that refused a request or failed.
 ///
-/// Only the store decides whether a server is leaving. One that refuses requests for this reason,
-/// perhaps because another server has its address now, is ejected for a while, until its row
-/// changes.
+/// Only the store decides whether a server is leaving. A server that refuses requests as leaving,
+/// perhaps because another server has its address now, is ejected for a while; its row is expected
+/// to change meanwhile.
 pub(crate) fn failure_outcome(reason: outcome::Reason) -> pool::ServerOutcome {
     match reason {
         outcome::Reason::Leaving => pool::ServerOutcome::Failure(outcome::Reason::NoServer),
