--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -73,7 +73,7 @@
                 .retried
                 .get_or_create(&metrics::reason_labels(reason))
                 .inc();
-            self.account().add(|totals| totals.count_retry(reason));
+            self.account().update(|totals| totals.count_retry(reason));
         }
         tracing::info!(
             id = self.id(),
--- a/crates/edge/src/ledger.rs
+++ b/crates/edge/src/ledger.rs
@@ -45,7 +45,7 @@
     }
 
     /// Updates the totals with `update`.
-    pub(crate) fn add(&self, update: impl FnOnce(&mut usage::Totals)) {
+    pub(crate) fn update(&self, update: impl FnOnce(&mut usage::Totals)) {
         update(self.edge.ledger().totals(&self.service, &self.route));
     }
 }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -216,7 +216,7 @@
         call.edge.counters.requests.answered.inc();
         let duration = clock::now() - call.arrived;
         call.edge.counters.plain_time.observe(duration.as_secs_f64());
-        call.account().add(|totals| {
+        call.account().update(|totals| {
             totals.count_outcome(Outcome::Answered, None);
             totals.first.add(duration);
             let is_good = response.head.status().is_success() && duration <= call.route.target;
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -51,7 +51,7 @@
         }
         let reason = metrics::reason_labels(Reason::Withdrawn);
         self.edge.counters.requests.wasted.get_or_create(&reason).inc_by(u64::from(self.tokens));
-        self.account.add(|totals| totals.count_waste(Reason::Withdrawn, u64::from(self.tokens)));
+        self.account.update(|totals| totals.count_waste(Reason::Withdrawn, u64::from(self.tokens)));
         let (edge, address) = (self.edge.clone(), self.target.address);
         let request = engine::free_handle(&self.handle);
         tokio::spawn(async move { cleanup::send(&edge, address, request).await });
@@ -157,7 +157,7 @@
                 took_ms = (clock::now() - started).as_millis() as u64,
                 "edge: prefill completed"
             );
-            call.account().add(|totals| totals.prefill_tokens += u64::from(prefilled.tokens));
+            call.account().update(|totals| totals.prefill_tokens += u64::from(prefilled.tokens));
             PrefillResult::Completed(KvCache {
                 account: call.account(),
                 edge: call.edge.clone(),
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -31,7 +31,7 @@
 
 /// Counts and logs the refusal of a call.
 pub(crate) fn record(call: &call::Call, refusal: Refusal) {
-    call.account().add(|totals| totals.count_outcome(refusal.outcome, Some(refusal.reason)));
+    call.account().update(|totals| totals.count_outcome(refusal.outcome, Some(refusal.reason)));
     call.edge
         .counters
         .requests
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -163,7 +163,7 @@
         if self.is_decode_prefill_faster() {
             tracing::info!(id = self.call.id(), "edge: prefill at the decode engine");
             let tokens = u64::from(self.need.prompt);
-            self.call.account().add(|totals| totals.prefill_tokens += tokens);
+            self.call.account().update(|totals| totals.prefill_tokens += tokens);
             return flow::Event::Prefilled;
         }
         let zone = self.decode_zone();
@@ -518,7 +518,7 @@
             let mut directory = call.edge.directory();
             directory.service(&call.service).engines.record_answer(tokens, duration);
         }
-        call.account().add(|totals| {
+        call.account().update(|totals| {
             totals.count_outcome(Outcome::Answered, None);
             let Some((first, last)) = times else { return };
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
