--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -192,5 +192,5 @@
 
 /// Idle timeout that the server advertises for the connection of this response.
 pub(crate) fn idle_timeout(response: &Response<body::Incoming>) -> Option<time::Duration> {
-    response::idle_limit(response.headers())
+    response::idle_timeout(response.headers())
 }
