--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -55,7 +55,8 @@
 
 // Hashes the length of each part before the part, so that moving a boundary changes the proof.
 fn compute_proof(key: &str, parts: &[&[u8]]) -> Proof {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key.as_bytes()).expect("HMAC takes any key");
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(key.as_bytes()).expect("HMAC accepts a key of any length");
     for part in parts {
         mac.update(&(part.len() as u64).to_be_bytes());
         mac.update(part);
