--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -12,7 +12,7 @@
 /// Maximum length of a frame from a peer that is not authenticated yet, in bytes.
 pub const MAX_HELLO_BYTES: usize = 1024;
 
-// Size of the length field, which doesn't count itself.
+// Size of the length field, which does not count itself.
 const LENGTH_BYTES: usize = 4;
 
 /// Error in reading a frame.
@@ -31,7 +31,7 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::Io(err) => write!(f, "connection failed: {err}; it is opened again"),
+            FrameError::Io(err) => write!(f, "connection failed: {err}; the entry reconnects"),
             FrameError::TooLong(bytes) => {
                 write!(f, "frame of {bytes} bytes is too long; check that the peer is rhubarbloom")
             }
