--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -116,7 +116,7 @@
 /// Reserves a decode slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Idempotency key, if the request has one.
     pub key: Option<ids::KeyHash>,
@@ -131,7 +131,7 @@
 /// Prefills a prompt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prefill {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Latest start of the prefill, in milliseconds of the agent's clock.
     pub start_by_ms: u64,
@@ -150,7 +150,7 @@
 /// Decodes a prefilled prompt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decode {
-    /// Id of the attempt that reserved the slot.
+    /// Id of the run that reserved the slot.
     pub run: ids::RunId,
     /// Time allowed for the whole response, in milliseconds.
     pub limit_ms: u64,
@@ -173,7 +173,7 @@
 /// Resumes a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resume {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Number of response bytes received so far.
     pub offset: u64,
@@ -182,7 +182,7 @@
 /// Result of a prefill.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prefilled {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// URL of the engine that holds the result.
     pub source: String,
@@ -197,7 +197,7 @@
 /// Refusal or failure of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Reason and outcome.
     pub refusal: outcome::Refusal,
@@ -206,7 +206,7 @@
 /// Status and headers of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// HTTP status.
     pub status: u16,
@@ -233,7 +233,7 @@
 /// End of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Length of the whole response body in bytes.
     pub length: u64,
--- a/crates/wire/src/offer.rs
+++ b/crates/wire/src/offer.rs
@@ -20,7 +20,7 @@
 /// A plain request, which the agent may refuse.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Id of the attempt.
+    /// Id of the run.
     pub run: ids::RunId,
     /// Hash of the idempotency key, if the request has one.
     pub key: Option<ids::KeyHash>,
