--- a/crates/wire/src/share.rs
+++ b/crates/wire/src/share.rs
@@ -1,5 +1,5 @@
 //! State that entries send to each other: commitments at engines, by datagram, and snapshots of
-//! the platform's store, by TCP, for entries that the store rejects.
+//! the platform's store, by TCP, for entries that do not receive its changes.
 
 use std::{collections, net, time};
 
@@ -108,14 +108,14 @@
     pub value: Vec<u8>,
 }
 
-/// Rows of the store, for a peer that the store rejects.
+/// Rows of the store, for a peer that does not receive its changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Row of the operator's config.
     pub config: Option<Row>,
     /// Rows of all servers.
     pub servers: Vec<Row>,
-    /// Servers without a row whose return the sender still waits for.
+    /// Servers without a row that the sender still keeps for a grace period.
     pub awaited: Vec<AwaitedServer>,
     /// Store version of the rows of servers.
     pub version: u64,
