--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -17,7 +17,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlatformError::Unavailable(what) => {
-                write!(f, "the platform is unavailable: {what}; retrying")
+                write!(f, "the platform is unavailable: {what}; try again later")
             }
             PlatformError::Protocol(what) => {
                 write!(f, "unexpected response from the platform: {what}; check the URL")
