--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -83,9 +83,9 @@
     H: Fn(Request<body::Incoming>) -> F + Clone + Send + Sync + 'static,
     F: future::Future<Output = Response<response::Body>> + Send + 'static,
 {
-    let slots = sync::Arc::new(tokio_sync::Semaphore::new(limits.connections));
+    let permits = sync::Arc::new(tokio_sync::Semaphore::new(limits.connections));
     loop {
-        let slot = slots.clone().acquire_owned().await;
+        let permit = permits.clone().acquire_owned().await;
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
@@ -96,7 +96,7 @@
         };
         let (handler, shutdown) = (handler.clone(), shutdown.clone());
         tokio::spawn(async move {
-            let _slot = slot;
+            let _permit = permit;
             if let Err(err) = serve_connection(stream, limits, shutdown, handler).await {
                 tracing::debug!("http: connection ended: {err}");
             }
