--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -30,9 +30,9 @@
 }
 
 impl Call {
-    /// Id of the attempt, for logs.
+    /// Id of the caller's attempt, for logs.
     pub(crate) fn id(&self) -> &str {
-        let id = self.head.attempt.as_ref().map(header::HeaderValue::to_str);
+        let id = self.head.attempt_id.as_ref().map(header::HeaderValue::to_str);
         id.and_then(Result::ok).unwrap_or("-")
     }
 
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -39,8 +39,8 @@
     edge.counters.requests.received.inc();
     let (parts, body) = request.into_parts();
     let head = request::Head::read(&parts);
-    let attempt = head.attempt.clone();
-    let refuse = |refusal| refuse::ingress_response(edge, attempt.as_ref(), refusal);
+    let attempt_id = head.attempt_id.clone();
+    let refuse = |refusal| refuse::ingress_response(edge, attempt_id.as_ref(), refusal);
     let Some(config) = edge.directory().config() else {
         return refuse(Refusal::not_run(Reason::NoList, CONFIG_RETRY));
     };
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -174,7 +174,7 @@
             }
             directory.update_load(&self.call.service, &target.id, load, clock::now());
         }
-        match platform_response::classify(&response.head, self.call.head.attempt.as_ref()) {
+        match platform_response::classify(&response.head, self.call.head.attempt_id.as_ref()) {
             platform_response::HeadClass::NotRun => {
                 Attempt::Failed(Refusal::not_run(Reason::NoRoom, RETRY_SOON))
             }
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -204,7 +204,7 @@
     target: &directory::Target,
     response: &exchange::BufferedResponse,
 ) -> Result<engine::Prefilled, Refusal> {
-    match platform_response::classify(&response.head, call.head.attempt.as_ref()) {
+    match platform_response::classify(&response.head, call.head.attempt_id.as_ref()) {
         platform_response::HeadClass::OtherServer => {
             Err(Refusal::not_run(Reason::Leaving, RETRY_SOON))
         }
--- a/crates/edge/src/refuse.rs
+++ b/crates/edge/src/refuse.rs
@@ -13,20 +13,20 @@
 /// Records the refusal of a request that is not a call yet, and returns the response.
 pub(crate) fn ingress_response(
     edge: &edge::Edge,
-    attempt: Option<&header::HeaderValue>,
+    attempt_id: Option<&header::HeaderValue>,
     refusal: Refusal,
 ) -> Response<response::Body> {
     edge.counters.requests.refused.get_or_create(&metrics::reason_labels(refusal.reason)).inc();
-    let id = attempt.and_then(|id| id.to_str().ok()).unwrap_or("-");
+    let id = attempt_id.and_then(|id| id.to_str().ok()).unwrap_or("-");
     let reason = refusal.reason.name();
     tracing::info!(id, reason, outcome = refusal.outcome.name(), "edge: refused");
-    build_response(attempt, refusal)
+    build_response(attempt_id, refusal)
 }
 
 /// Records the refusal of a call, and returns the response.
 pub(crate) fn call_response(call: &call::Call, refusal: Refusal) -> Response<response::Body> {
     record(call, refusal);
-    build_response(call.head.attempt.as_ref(), refusal)
+    build_response(call.head.attempt_id.as_ref(), refusal)
 }
 
 /// Counts and logs the refusal of a call.
@@ -53,13 +53,14 @@
 }
 
 fn build_response(
-    attempt: Option<&header::HeaderValue>,
+    attempt_id: Option<&header::HeaderValue>,
     refusal: Refusal,
 ) -> Response<response::Body> {
     // A retry delay tells the caller that the request did not run.
     let retry = refusal.retry.filter(|_| refusal.outcome == Outcome::NotRun);
     let text = format!("{refusal}\n");
-    platform_response::local_head(status(&refusal), attempt, retry).map(|()| response::full(text))
+    platform_response::local_head(status(&refusal), attempt_id, retry)
+        .map(|()| response::full(text))
 }
 
 fn status(refusal: &Refusal) -> StatusCode {
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -312,7 +312,7 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        match platform_response::classify(&pending.response, self.call.head.attempt.as_ref()) {
+        match platform_response::classify(&pending.response, self.call.head.attempt_id.as_ref()) {
             platform_response::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
                 return self.failed(Some(server.clone()), refusal);
