--- a/crates/edge/src/ledger.rs
+++ b/crates/edge/src/ledger.rs
@@ -76,7 +76,7 @@
     let now_ms = edge.dates.now_ms();
     edge.ledger().close(now_ms, true);
     if tokio::time::timeout(LAST_TIMEOUT, store_closed_records(edge)).await.is_err() {
-        tracing::warn!("edge: last usage record not stored in time");
+        tracing::warn!("edge: storing the last usage record timed out");
     }
 }
 
