--- a/crates/edge/src/leader.rs
+++ b/crates/edge/src/leader.rs
@@ -187,7 +187,7 @@
             None
         }
         Err(_) => {
-            tracing::warn!(server = target.id, path, "edge: engine did not respond in time");
+            tracing::warn!(server = target.id, path, "edge: call to engine timed out");
             None
         }
     }
