--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -172,8 +172,8 @@
             let transfer = send_snapshot(&mut stream, &snapshot);
             match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
                 Ok(Ok(())) => {}
-                Ok(Err(err)) => tracing::info!(%from, %err, "edge: snapshot not sent"),
-                Err(_) => tracing::info!(%from, "edge: snapshot not sent in time"),
+                Ok(Err(err)) => tracing::info!(%from, %err, "edge: sending a snapshot failed"),
+                Err(_) => tracing::info!(%from, "edge: sending a snapshot timed out"),
             }
         });
     }
@@ -206,8 +206,10 @@
         let transfer = fetch(address(&edge, ip));
         match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
             Ok(Ok(snapshot)) => watch::apply_snapshot(&edge, ip, snapshot),
-            Ok(Err(err)) => tracing::info!(%ip, %err, "edge: no snapshot from peer"),
-            Err(_) => tracing::info!(%ip, "edge: no snapshot from peer in time"),
+            Ok(Err(err)) => {
+                tracing::info!(%ip, %err, "edge: fetching a snapshot from a peer failed")
+            }
+            Err(_) => tracing::info!(%ip, "edge: fetching a snapshot from a peer timed out"),
         }
     }
 }
