--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -80,7 +80,7 @@
 pub(crate) enum ReserveResult {
     /// A slot is reserved.
     Granted(Reservation),
-    /// No slot became free in time.
+    /// No slot became free within the limit.
     Refused(Refusal),
     /// The caller closed its connection.
     Disconnected,
