--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -30,9 +30,9 @@
 }
 
 impl Call {
-    /// Id of the attempt, for logs.
+    /// Id of the caller's attempt, for logs.
     pub(crate) fn id(&self) -> &str {
-        let id = self.head.attempt.as_ref().map(header::HeaderValue::to_str);
+        let id = self.head.attempt_id.as_ref().map(header::HeaderValue::to_str);
         id.and_then(Result::ok).unwrap_or("-")
     }
 
@@ -56,16 +56,16 @@
         (clock::now() - self.arrived).as_millis() as u64
     }
 
-    /// Withdraws `sends` requests from the shared retry budget after a failure at `server`.
+    /// Withdraws the `sends` requests of a retry, after a failure at `server`, from the budget.
     ///
-    /// Counts the retry if the budget allows it.
+    /// Returns whether the budget allows the retry, which is then counted.
     pub(crate) fn withdraw_retry(
         &self,
         server: Option<&ids::ServerName>,
         sends: u32,
         reason: outcome::Reason,
     ) -> bool {
-        let is_allowed = self.edge.directory().spend_repeats(&self.service, sends, clock::now());
+        let is_allowed = self.edge.directory().withdraw_retry(&self.service, sends, clock::now());
         if is_allowed {
             self.edge
                 .counters
@@ -73,7 +73,7 @@
                 .retried
                 .get_or_create(&metrics::reason_labels(reason))
                 .inc();
-            self.account().add(|totals| totals.count_retry(reason));
+            self.account().update(|totals| totals.count_retry(reason));
         }
         tracing::info!(
             id = self.id(),
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -2,7 +2,7 @@
 
 use std::{sync, sync::atomic, time};
 
-use tokio::sync as lock;
+use tokio::sync as tokio_sync;
 
 use rhubarb_core::{ids, members, usage};
 use rhubarb_node::{client, clock, locks};
@@ -16,16 +16,16 @@
     settings: sync::Mutex<sync::Arc<settings::Settings>>,
     pub(crate) incarnation: ids::Incarnation,
     pub(crate) store: store::Store,
-    pub(crate) links: connections::ConnectionPool,
+    pub(crate) connections: connections::ConnectionPool,
     pub(crate) counters: metrics::Counters,
     /// Notifies requests that wait for a decode slot that one may be free.
-    pub(crate) slot_freed: lock::Notify,
+    pub(crate) slot_freed: tokio_sync::Notify,
     /// Notifies the sender of commitments that this entry's commitments have changed.
-    pub(crate) commitments_changed: lock::Notify,
+    pub(crate) commitments_changed: tokio_sync::Notify,
     /// Notifies the fetcher of snapshots that a peer has newer rows of the store.
-    pub(crate) lag_detected: lock::Notify,
+    pub(crate) lag_detected: tokio_sync::Notify,
     /// Notifies the followers of the store that its feed does not deliver changes.
-    pub(crate) feed_stalled: lock::Notify,
+    pub(crate) feed_stalled: tokio_sync::Notify,
     /// Number of tables that cannot be read from the store.
     pub(crate) unavailable_tables: atomic::AtomicU64,
     /// Number of requests in progress.
@@ -46,7 +46,7 @@
 
 impl Edge {
     pub(crate) fn new(settings: settings::Settings) -> Edge {
-        let directory = directory::Directory::new(&settings.zone, settings.allowance);
+        let directory = directory::Directory::new(&settings.zone, settings.retry_limits);
         let store = store::Store::new(client::Client::new(), settings.store_addr);
         let (incarnation, dates) = (rand::random(), dates::Dates::new());
         let ledger = usage::Ledger::new(settings.name.clone(), incarnation, dates.now_ms());
@@ -55,12 +55,12 @@
             dates,
             ledger: sync::Mutex::new(ledger),
             store,
-            links: connections::ConnectionPool::default(),
+            connections: connections::ConnectionPool::default(),
             counters: metrics::Counters::new(),
-            slot_freed: lock::Notify::new(),
-            commitments_changed: lock::Notify::new(),
-            lag_detected: lock::Notify::new(),
-            feed_stalled: lock::Notify::new(),
+            slot_freed: tokio_sync::Notify::new(),
+            commitments_changed: tokio_sync::Notify::new(),
+            lag_detected: tokio_sync::Notify::new(),
+            feed_stalled: tokio_sync::Notify::new(),
             unavailable_tables: atomic::AtomicU64::new(0),
             open_requests: atomic::AtomicU64::new(0),
             directory: sync::Mutex::new(directory),
@@ -80,7 +80,7 @@
 
     /// Applies reloaded settings.
     pub(crate) fn set_settings(&self, settings: settings::Settings) {
-        self.directory().set_allowance(settings.allowance);
+        self.directory().set_retry_limits(settings.retry_limits);
         *locks::lock(&self.settings) = sync::Arc::new(settings);
     }
 
--- a/crates/edge/src/ingress.rs
+++ b/crates/edge/src/ingress.rs
@@ -39,8 +39,8 @@
     edge.counters.requests.received.inc();
     let (parts, body) = request.into_parts();
     let head = request::Head::read(&parts);
-    let attempt = head.attempt.clone();
-    let refuse = |refusal| refuse::ingress_response(edge, attempt.as_ref(), refusal);
+    let attempt_id = head.attempt_id.clone();
+    let refuse = |refusal| refuse::ingress_response(edge, attempt_id.as_ref(), refusal);
     let Some(config) = edge.directory().config() else {
         return refuse(Refusal::not_run(Reason::NoList, CONFIG_RETRY));
     };
@@ -78,15 +78,15 @@
 
 async fn start(call: call::Call) -> Response<response::Body> {
     let in_flight = call::InFlight::new(&call.edge);
-    call.edge.directory().service(&call.service).repeats.record_request(clock::now());
-    let (reply, receiver) = responder::Responder::new();
+    call.edge.directory().service(&call.service).retry_budget.record_request(clock::now());
+    let (responder, receiver) = responder::Responder::new();
     let is_model = matches!(call.route.kind, routing::Kind::Stream { .. });
     tokio::spawn(async move {
         let _in_flight = in_flight;
         if is_model {
-            stream::Streaming::new(call, reply).drive().await;
+            stream::Streaming::new(call, responder).drive().await;
         } else {
-            plain::Plain::new(call, reply).drive().await;
+            plain::Plain::new(call, responder).drive().await;
         }
     });
     let failure = || {
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -2,7 +2,7 @@
 
 use std::{net, sync, sync::atomic, time};
 
-use tokio::{io, net as tcp, sync as lock};
+use tokio::{io, net as tokio_net, sync as tokio_sync};
 
 use rhubarb_node::clock;
 use rhubarb_platform::store;
@@ -18,8 +18,8 @@
 const BATCH_DELAY: time::Duration = time::Duration::from_millis(20);
 /// Interval between lookups of the instances in the store, before jitter.
 const DISCOVERY_PERIOD: time::Duration = time::Duration::from_secs(30);
-/// Interval between attempts at the addresses in the settings, before jitter; they end when as many
-/// peers are live.
+/// Interval between attempts to reach the seeds in the settings, which are made while fewer peers
+/// are live than there are seeds, and delay after a failed discovery; both before jitter.
 const SEED_PERIOD: time::Duration = time::Duration::from_secs(2);
 /// Minimum interval between fetches of snapshots.
 const FETCH_INTERVAL: time::Duration = time::Duration::from_millis(250);
@@ -37,7 +37,10 @@
 }
 
 /// Sends this entry's commitments to its peers; does not return.
-pub(crate) async fn send_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+pub(crate) async fn send_shares(
+    edge: sync::Arc<edge::Edge>,
+    socket: sync::Arc<tokio_net::UdpSocket>,
+) {
     let mut seq = 0;
     loop {
         // Wakes up after a change or at the end of the period.
@@ -96,7 +99,10 @@
 }
 
 /// Receives the commitments of the peers; does not return.
-pub(crate) async fn receive_shares(edge: sync::Arc<edge::Edge>, socket: sync::Arc<tcp::UdpSocket>) {
+pub(crate) async fn receive_shares(
+    edge: sync::Arc<edge::Edge>,
+    socket: sync::Arc<tokio_net::UdpSocket>,
+) {
     let mut buffer = vec![0; share::MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -152,8 +158,8 @@
 }
 
 /// Sends snapshots of the store to peers that request them; does not return.
-pub(crate) async fn serve_snapshots(edge: sync::Arc<edge::Edge>, listener: tcp::TcpListener) {
-    let permits = sync::Arc::new(lock::Semaphore::new(MAX_SNAPSHOTS));
+pub(crate) async fn serve_snapshots(edge: sync::Arc<edge::Edge>, listener: tokio_net::TcpListener) {
+    let permits = sync::Arc::new(tokio_sync::Semaphore::new(MAX_SNAPSHOTS));
     loop {
         let permit = permits.clone().acquire_owned().await;
         let Ok((mut stream, from)) = listener.accept().await else {
@@ -166,15 +172,15 @@
             let transfer = send_snapshot(&mut stream, &snapshot);
             match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
                 Ok(Ok(())) => {}
-                Ok(Err(err)) => tracing::info!(%from, %err, "edge: snapshot not sent"),
-                Err(_) => tracing::info!(%from, "edge: snapshot not sent in time"),
+                Ok(Err(err)) => tracing::info!(%from, %err, "edge: sending a snapshot failed"),
+                Err(_) => tracing::info!(%from, "edge: sending a snapshot timed out"),
             }
         });
     }
 }
 
 async fn send_snapshot(
-    stream: &mut tcp::TcpStream,
+    stream: &mut tokio_net::TcpStream,
     snapshot: &share::Snapshot,
 ) -> anyhow::Result<()> {
     connections::set_options(stream)?;
@@ -200,8 +206,10 @@
         let transfer = fetch(address(&edge, ip));
         match tokio::time::timeout(FETCH_TIMEOUT, transfer).await {
             Ok(Ok(snapshot)) => watch::apply_snapshot(&edge, ip, snapshot),
-            Ok(Err(err)) => tracing::info!(%ip, %err, "edge: no snapshot from peer"),
-            Err(_) => tracing::info!(%ip, "edge: no snapshot from peer in time"),
+            Ok(Err(err)) => {
+                tracing::info!(%ip, %err, "edge: fetching a snapshot from a peer failed")
+            }
+            Err(_) => tracing::info!(%ip, "edge: fetching a snapshot from a peer timed out"),
         }
     }
 }
@@ -211,7 +219,7 @@
 }
 
 async fn fetch(from: net::SocketAddr) -> anyhow::Result<share::Snapshot> {
-    let stream = tcp::TcpStream::connect(from).await?;
+    let stream = tokio_net::TcpStream::connect(from).await?;
     connections::set_options(&stream)?;
     let mut bytes = Vec::new();
     let mut limited = io::AsyncReadExt::take(stream, share::MAX_SNAPSHOT_BYTES as u64);
@@ -225,7 +233,7 @@
     tokio::spawn(retry_seeds(edge.clone()));
     loop {
         if let Err(err) = exchange_addresses(&edge).await {
-            tracing::info!(%err, "edge: instances not read from the store");
+            tracing::info!(%err, "edge: peer discovery through the store failed");
             tokio::time::sleep(clock::jitter(SEED_PERIOD)).await;
             continue;
         }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -7,7 +7,7 @@
 
 use rhubarb_core::{flow, ids, outcome, pool};
 use rhubarb_node::{clock, responder, response};
-use rhubarb_platform::{request, response as forms};
+use rhubarb_platform::{request, response as platform_response};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct Plain {
     call: call::Call,
-    reply: responder::Responder,
+    responder: responder::Responder,
     flow: flow::Flow,
     // Failure response of a server, which the caller gets if no other attempt succeeds.
     failure: Option<ServerResponse>,
@@ -45,9 +45,9 @@
 }
 
 impl Plain {
-    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Plain {
+    pub(crate) fn new(call: call::Call, responder: responder::Responder) -> Plain {
         let flow = flow::Flow::new(flow::Path::Direct, call.retry_policy(MAX_RETRIES));
-        Plain { call, reply, flow, failure: None, answer: None, estimate: None }
+        Plain { call, responder, flow, failure: None, answer: None, estimate: None }
     }
 
     /// Runs the request to its final outcome.
@@ -131,8 +131,8 @@
         let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
         let sent_at = clock::now();
-        let sending = exchange::fetch(&edge.links, target.address, request);
-        match self.reply.wait(sending, deadline).await {
+        let sending = exchange::fetch(&edge.connections, target.address, request);
+        match self.responder.wait(sending, deadline).await {
             responder::WaitOutcome::Disconnected => Attempt::Disconnected,
             responder::WaitOutcome::Expired => {
                 Attempt::Failed(Refusal::unknown(Reason::EngineSilent, RETRY_SOON))
@@ -167,26 +167,26 @@
         sent_at: time::Instant,
         response: exchange::BufferedResponse,
     ) -> Attempt {
-        if let Some(load) = forms::reported_load(response.head.headers()) {
+        if let Some(load) = platform_response::reported_load(response.head.headers()) {
             let mut directory = self.call.edge.directory();
             if response.is_success() {
                 directory.record_service_time(&self.call.service, clock::now() - sent_at, load);
             }
             directory.update_load(&self.call.service, &target.id, load, clock::now());
         }
-        match forms::classify(&response.head, self.call.head.attempt.as_ref()) {
-            forms::HeadClass::NotRun => {
+        match platform_response::classify(&response.head, self.call.head.attempt_id.as_ref()) {
+            platform_response::HeadClass::NotRun => {
                 Attempt::Failed(Refusal::not_run(Reason::NoRoom, RETRY_SOON))
             }
-            forms::HeadClass::OtherServer => {
+            platform_response::HeadClass::OtherServer => {
                 Attempt::Failed(Refusal::not_run(Reason::Leaving, RETRY_SOON))
             }
-            forms::HeadClass::Invalid => {
+            platform_response::HeadClass::Invalid => {
                 Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON))
             }
-            forms::HeadClass::Valid => match response.body {
+            platform_response::HeadClass::Valid => match response.body {
                 Some(body) => {
-                    let head = forms::forwarded_head(&response.head);
+                    let head = platform_response::forwarded_head(&response.head);
                     Attempt::Completed(ServerResponse { head, body, server: target.id.clone() })
                 }
                 None => Attempt::Failed(Refusal::unknown(Reason::LostContact, RETRY_SOON)),
@@ -216,7 +216,7 @@
         call.edge.counters.requests.answered.inc();
         let duration = clock::now() - call.arrived;
         call.edge.counters.plain_time.observe(duration.as_secs_f64());
-        call.account().add(|totals| {
+        call.account().update(|totals| {
             totals.count_outcome(Outcome::Answered, None);
             totals.first.add(duration);
             let is_good = response.head.status().is_success() && duration <= call.route.target;
@@ -234,7 +234,7 @@
             age_ms = call.age_ms(),
             "edge: answered"
         );
-        self.reply.respond(response.head.map(|()| response::full(response.body)));
+        self.responder.respond(response.head.map(|()| response::full(response.body)));
     }
 
     fn refuse(&mut self, refusal: Refusal) {
@@ -244,7 +244,7 @@
         if let Some(failure) = self.failure.take() {
             return self.finish(failure);
         }
-        self.reply.respond(refuse::call_response(&self.call, refusal));
+        self.responder.respond(refuse::call_response(&self.call, refusal));
     }
 }
 
--- a/crates/edge/src/prefill.rs
+++ b/crates/edge/src/prefill.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, ids, outcome, pool};
 use rhubarb_node::{clock, metrics, responder};
-use rhubarb_platform::{engine, request, response as forms};
+use rhubarb_platform::{engine, request, response as platform_response};
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
@@ -51,7 +51,7 @@
         }
         let reason = metrics::reason_labels(Reason::Withdrawn);
         self.edge.counters.requests.wasted.get_or_create(&reason).inc_by(u64::from(self.tokens));
-        self.account.add(|totals| totals.count_waste(Reason::Withdrawn, u64::from(self.tokens)));
+        self.account.update(|totals| totals.count_waste(Reason::Withdrawn, u64::from(self.tokens)));
         let (edge, address) = (self.edge.clone(), self.target.address);
         let request = engine::free_handle(&self.handle);
         tokio::spawn(async move { cleanup::send(&edge, address, request).await });
@@ -92,12 +92,12 @@
 /// Runs the prefill of `prompt`, preferably at a server that was not `tried`.
 pub(crate) async fn run(
     prompt: Prompt<'_>,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> PrefillResult {
     let mut tried = tried.to_vec();
     for _ in 0..MAX_UNSENT {
-        match run_once(prompt, reply, &tried).await {
+        match run_once(prompt, responder, &tried).await {
             PrefillResult::Unsent(server) => tried.push(server),
             result => return result,
         }
@@ -107,7 +107,7 @@
 
 async fn run_once(
     prompt: Prompt<'_>,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     tried: &[ids::ServerName],
 ) -> PrefillResult {
     let call = prompt.call;
@@ -122,8 +122,8 @@
     };
     let request = call.head.to_prefill(&headers, call.body.clone());
     let started = clock::now();
-    let sending = exchange::fetch(&call.edge.links, target.address, request);
-    let result = match reply.wait(sending, deadline).await {
+    let sending = exchange::fetch(&call.edge.connections, target.address, request);
+    let result = match responder.wait(sending, deadline).await {
         responder::WaitOutcome::Disconnected => return PrefillResult::Disconnected,
         responder::WaitOutcome::Expired => Err(Refusal::not_run(Reason::EngineSilent, RETRY_SOON)),
         responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
@@ -157,7 +157,7 @@
                 took_ms = (clock::now() - started).as_millis() as u64,
                 "edge: prefill completed"
             );
-            call.account().add(|totals| totals.prefill_tokens += u64::from(prefilled.tokens));
+            call.account().update(|totals| totals.prefill_tokens += u64::from(prefilled.tokens));
             PrefillResult::Completed(KvCache {
                 account: call.account(),
                 edge: call.edge.clone(),
@@ -204,10 +204,12 @@
     target: &directory::Target,
     response: &exchange::BufferedResponse,
 ) -> Result<engine::Prefilled, Refusal> {
-    match forms::classify(&response.head, call.head.attempt.as_ref()) {
-        forms::HeadClass::OtherServer => Err(Refusal::not_run(Reason::Leaving, RETRY_SOON)),
-        forms::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
-        forms::HeadClass::Valid | forms::HeadClass::Invalid => {
+    match platform_response::classify(&response.head, call.head.attempt_id.as_ref()) {
+        platform_response::HeadClass::OtherServer => {
+            Err(Refusal::not_run(Reason::Leaving, RETRY_SOON))
+        }
+        platform_response::HeadClass::NotRun => Err(Refusal::not_run(Reason::NoRoom, RETRY_SOON)),
+        platform_response::HeadClass::Valid | platform_response::HeadClass::Invalid => {
             let body = response.body.as_ref().filter(|_| response.is_success());
             match body.map(|body| engine::read_prefilled(body)) {
                 Some(Ok(prefilled)) => Ok(prefilled),
--- a/crates/edge/src/reservation.rs
+++ b/crates/edge/src/reservation.rs
@@ -6,7 +6,7 @@
 
 use rhubarb_core::{engine, engines, fleet, ids, outcome, pool};
 use rhubarb_node::{clock, responder};
-use rhubarb_platform::engine as calls;
+use rhubarb_platform::engine as platform_engine;
 
 use outcome::{Reason, Refusal};
 
@@ -47,7 +47,7 @@
     fn drop(&mut self) {
         if let Some(hold) = self.hold.take() {
             let (edge, address) = (self.edge.clone(), self.target.address);
-            let request = calls::release_hold(&hold);
+            let request = platform_engine::release_hold(&hold);
             tokio::spawn(async move { cleanup::send(&edge, address, request).await });
         }
         let mut directory = self.edge.directory();
@@ -62,7 +62,7 @@
 /// How long and with which precedence a request waits for a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitLimit {
-    /// Whether it can no longer meet its latency target; it is served after all that can.
+    /// Whether the request can no longer meet its latency target; it is served after all that can.
     pub(crate) overdue: bool,
     /// Time after which a slot is of no use.
     pub(crate) until: time::Instant,
@@ -80,13 +80,13 @@
 pub(crate) enum ReserveResult {
     /// A slot is reserved.
     Granted(Reservation),
-    /// No slot became free in time.
+    /// No slot became free within the limit.
     Refused(Refusal),
     /// The caller closed its connection.
     Disconnected,
 }
 
-/// Timeout of a request for a hold; a candidates engine responds within milliseconds.
+/// Timeout of a request for a hold; an engine responds within milliseconds.
 const HOLD_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 /// Typical error of the expected wait, in either direction.
 const WAIT_MARGIN: time::Duration = time::Duration::from_millis(1_000);
@@ -107,7 +107,7 @@
 /// attempt.
 pub(crate) async fn reserve(
     call: &call::Call,
-    reply: &mut responder::Responder,
+    responder: &mut responder::Responder,
     need: engine::Need,
     tried: &[ids::ServerName],
     limit: WaitLimit,
@@ -122,7 +122,7 @@
     loop {
         let slot_freed = call.edge.slot_freed.notified();
         while let Some(mut reservation) = try_reserve(call, position, need, &tried) {
-            match reply.wait(request_hold(call, &mut reservation, need), call.deadline).await {
+            match responder.wait(request_hold(call, &mut reservation, need), call.deadline).await {
                 responder::WaitOutcome::Event(HoldResult::Held) => {
                     log_estimate(call, &reservation.target.id, need, "edge: slot reserved");
                     return ReserveResult::Granted(reservation);
@@ -139,7 +139,7 @@
             return ReserveResult::Refused(no_slot());
         }
         let wake_at = until.min(clock::now() + RECHECK_INTERVAL);
-        if let responder::WaitOutcome::Disconnected = reply.wait(slot_freed, wake_at).await {
+        if let responder::WaitOutcome::Disconnected = responder.wait(slot_freed, wake_at).await {
             return ReserveResult::Disconnected;
         }
     }
@@ -159,8 +159,8 @@
 ) -> HoldResult {
     let Some(ttl) = hold_ttl(call) else { return HoldResult::Held };
     let id = reservation.target.id.clone();
-    let request = calls::create_hold(&id, need.charge(), ttl);
-    let sending = exchange::fetch(&call.edge.links, reservation.target.address, request);
+    let request = platform_engine::create_hold(&id, need.charge(), ttl);
+    let sending = exchange::fetch(&call.edge.connections, reservation.target.address, request);
     let response = match tokio::time::timeout(HOLD_TIMEOUT, sending).await {
         Ok(Ok(response)) => response,
         Ok(Err(err)) => {
@@ -175,7 +175,7 @@
         }
     };
     let body = response.body.as_ref().filter(|_| response.is_success());
-    match body.map(|body| calls::read_hold(body)) {
+    match body.map(|body| platform_engine::read_hold(body)) {
         Some(Ok(hold)) => {
             reservation.hold = Some(hold);
             HoldResult::Held
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -8,7 +8,7 @@
 
 use rhubarb_core::{engine, engines, flow, ids, outcome, pool, routing, sse};
 use rhubarb_node::{clock, responder, response};
-use rhubarb_platform::{request, response as forms};
+use rhubarb_platform::{request, response as platform_response};
 
 use outcome::{Outcome, RETRY_SOON, Reason, Refusal};
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct Streaming {
     call: call::Call,
-    reply: responder::Responder,
+    responder: responder::Responder,
     flow: flow::Flow,
     need: engine::Need,
     reservation: Option<reservation::Reservation>,
@@ -52,13 +52,13 @@
 const DEFAULT_NEED: engine::Need = engine::Need { prompt: 1_000, output: 500 };
 
 impl Streaming {
-    pub(crate) fn new(call: call::Call, reply: responder::Responder) -> Streaming {
+    pub(crate) fn new(call: call::Call, responder: responder::Responder) -> Streaming {
         let last_event = call.head.last_event;
         Streaming {
             need: call.head.need.unwrap_or(DEFAULT_NEED),
             flow: flow::Flow::new(flow::Path::Staged, call.retry_policy(flow::MAX_RETRIES)),
             call,
-            reply,
+            responder,
             reservation: None,
             failover: None,
             cache: None,
@@ -148,7 +148,7 @@
         let limit = self.slot_wait();
         let tried = self.flow.tried().to_vec();
         let result =
-            reservation::reserve(&self.call, &mut self.reply, self.need, &tried, limit).await;
+            reservation::reserve(&self.call, &mut self.responder, self.need, &tried, limit).await;
         match result {
             reservation::ReserveResult::Granted(reservation) => {
                 self.reservation = Some(reservation);
@@ -163,13 +163,13 @@
         if self.is_decode_prefill_faster() {
             tracing::info!(id = self.call.id(), "edge: prefill at the decode engine");
             let tokens = u64::from(self.need.prompt);
-            self.call.account().add(|totals| totals.prefill_tokens += tokens);
+            self.call.account().update(|totals| totals.prefill_tokens += tokens);
             return flow::Event::Prefilled;
         }
         let zone = self.decode_zone();
         let tried = self.flow.tried().to_vec();
         let prompt = prefill::Prompt { call: &self.call, zone: &zone, tokens: self.need.prompt };
-        match prefill::run(prompt, &mut self.reply, &tried).await {
+        match prefill::run(prompt, &mut self.responder, &tried).await {
             prefill::PrefillResult::Completed(cache) => {
                 self.cache = Some(cache);
                 flow::Event::Prefilled
@@ -229,7 +229,7 @@
                 self.cache.as_ref().map_or(clock::now(), |cache| cache.usable_until(&self.call));
             let result = reservation::reserve(
                 &self.call,
-                &mut self.reply,
+                &mut self.responder,
                 self.need,
                 &tried,
                 reservation::WaitLimit::until(usable_until),
@@ -259,8 +259,8 @@
         };
         let request = self.call.head.to_server(&headers, self.call.body.clone());
         let edge = self.call.edge.clone();
-        let sending = edge.links.send(target.address, request);
-        SendResult::Sent(match self.reply.wait(sending, self.call.deadline).await {
+        let sending = edge.connections.send(target.address, request);
+        SendResult::Sent(match self.responder.wait(sending, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(Err(connections::SendError::Unsent(err))) => {
@@ -312,14 +312,18 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        match forms::classify(&pending.response, self.call.head.attempt.as_ref()) {
-            forms::HeadClass::OtherServer => {
+        match platform_response::classify(&pending.response, self.call.head.attempt_id.as_ref()) {
+            platform_response::HeadClass::OtherServer => {
                 let refusal = Refusal::not_run(Reason::Leaving, RETRY_SOON);
                 return self.failed(Some(server.clone()), refusal);
             }
-            forms::HeadClass::NotRun => return self.handle_not_run(server, pending).await,
-            forms::HeadClass::Invalid => return self.interrupted(server, Reason::LostContact),
-            forms::HeadClass::Valid => {}
+            platform_response::HeadClass::NotRun => {
+                return self.handle_not_run(server, pending).await;
+            }
+            platform_response::HeadClass::Invalid => {
+                return self.interrupted(server, Reason::LostContact);
+            }
+            platform_response::HeadClass::Valid => {}
         }
         if let Some(reservation) = &mut self.reservation {
             reservation.set_hold_used();
@@ -340,10 +344,10 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        exchange::read_all(&self.call.edge.links, pending).await;
+        exchange::read_all(&self.call.edge.connections, pending).await;
         if let Some(cache) = &self.cache {
-            let expired = pool::ServerOutcome::Failure(Reason::LostContact);
-            prefill::record_outcome(&self.call, &cache.server, expired);
+            let failure = pool::ServerOutcome::Failure(Reason::LostContact);
+            prefill::record_outcome(&self.call, &cache.server, failure);
         }
         self.failed(Some(server.clone()), Refusal::not_run(Reason::Evicted, RETRY_SOON))
     }
@@ -355,15 +359,17 @@
         pending: connections::PendingResponse,
     ) -> flow::Event {
         let edge = self.call.edge.clone();
-        let reading = exchange::read_all(&edge.links, pending);
-        match self.reply.wait(reading, self.call.deadline).await {
+        let reading = exchange::read_all(&edge.connections, pending);
+        match self.responder.wait(reading, self.call.deadline).await {
             responder::WaitOutcome::Disconnected => flow::Event::CallerGone,
             responder::WaitOutcome::Expired => flow::Event::Expired,
             responder::WaitOutcome::Event(exchange::BufferedResponse {
                 head,
                 body: Some(body),
-            }) if !self.reply.has_started() => {
-                self.reply.respond(forms::forwarded_head(&head).map(|()| response::full(body)));
+            }) if !self.responder.has_started() => {
+                self.responder.respond(
+                    platform_response::forwarded_head(&head).map(|()| response::full(body)),
+                );
                 flow::Event::Ended
             }
             responder::WaitOutcome::Event(_) => self.interrupted(server, Reason::EngineFailed),
@@ -375,11 +381,11 @@
         server: &ids::ServerName,
         pending: connections::PendingResponse,
     ) -> flow::Event {
-        let head = forms::forwarded_head(&pending.response);
+        let head = platform_response::forwarded_head(&pending.response);
         let idle_timeout = connections::idle_timeout(&pending.response);
         let mut reader = reader::Reader::new(pending.response.into_body());
         loop {
-            let event = match self.reply.wait(reader.next(), self.stall_deadline()).await {
+            let event = match self.responder.wait(reader.next(), self.stall_deadline()).await {
                 responder::WaitOutcome::Disconnected => return flow::Event::CallerGone,
                 responder::WaitOutcome::Expired if clock::now() >= self.call.deadline => {
                     return flow::Event::Expired;
@@ -395,7 +401,7 @@
                     return self.interrupted(server, Reason::LostContact);
                 }
                 responder::WaitOutcome::Event(reader::Item::End) => {
-                    self.call.edge.links.put_back(pending.connection, idle_timeout);
+                    self.call.edge.connections.put_back(pending.connection, idle_timeout);
                     return flow::Event::Ended;
                 }
                 responder::WaitOutcome::Event(reader::Item::Event(event)) => event,
@@ -417,10 +423,10 @@
         }
         let mut tried = self.flow.tried().to_vec();
         tried.push(server.clone());
-        let (call, reply) = (&self.call, &mut self.reply);
+        let (call, responder) = (&self.call, &mut self.responder);
         let result = reservation::reserve(
             call,
-            reply,
+            responder,
             self.need,
             &tried,
             reservation::WaitLimit::until(clock::now()),
@@ -459,12 +465,12 @@
                 return Some(self.interrupted(server, Reason::EngineFailed));
             }
         }
-        if !self.reply.has_started() {
+        if !self.responder.has_started() {
             self.first_at = Some(clock::now());
-            self.reply.start_stream(head.clone());
+            self.responder.start_stream(head.clone());
         }
         self.flow.handle(&flow::Event::Streamed);
-        if !self.reply.send(Bytes::from(event.bytes), self.call.deadline).await {
+        if !self.responder.send(Bytes::from(event.bytes), self.call.deadline).await {
             return Some(flow::Event::CallerGone);
         }
         self.last_event = event.id.or(self.last_event);
@@ -512,7 +518,7 @@
             let mut directory = call.edge.directory();
             directory.service(&call.service).engines.record_answer(tokens, duration);
         }
-        call.account().add(|totals| {
+        call.account().update(|totals| {
             totals.count_outcome(Outcome::Answered, None);
             let Some((first, last)) = times else { return };
             let gaps = (tokens.saturating_sub(1)).max(1) as f64;
@@ -524,15 +530,15 @@
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
-        if self.reply.has_started() {
+        if self.responder.has_started() {
             refuse::record(&self.call, refusal);
-            return self.reply.abort(refusal.reason.name()).await;
+            return self.responder.abort(refusal.reason.name()).await;
         }
         if refusal.outcome == Outcome::Cancelled {
             return refuse::record(&self.call, refusal);
         }
         let response = refuse::call_response(&self.call, refusal);
-        self.reply.respond(response);
+        self.responder.respond(response);
     }
 }
 
--- a/crates/edge/src/watch.rs
+++ b/crates/edge/src/watch.rs
@@ -4,7 +4,7 @@
 
 use rhubarb_core::{fleet, suspension};
 use rhubarb_node::clock;
-use rhubarb_platform::{config, entries, store};
+use rhubarb_platform::{config, registration, store};
 use rhubarb_wire::share;
 
 use crate::{boot, directory, edge};
@@ -149,7 +149,7 @@
 }
 
 fn set_server(edge: &edge::Edge, row: &store::Row) {
-    let parsed = row.value.as_ref().map(|value| entries::read(value));
+    let parsed = row.value.as_ref().map(|value| registration::read(value));
     let mut directory = edge.directory();
     let change = match parsed {
         Some(Ok(instance)) => directory.fleet.set(&row.key, instance),
@@ -189,7 +189,7 @@
             directory.fleet.keep_until(&key, now + server.remaining);
             tracing::info!(
                 server = key,
-                left = ?server.remaining,
+                remaining = ?server.remaining,
                 version,
                 "edge: missing server kept"
             );
@@ -202,18 +202,18 @@
     directory.set_fleet_known();
 }
 
-/// Removes servers whose rows did not return within the grace period, and closes idle connections;
-/// does not return.
+/// Removes servers whose rows did not return within the grace period, and closes expired idle
+/// connections; does not return.
 pub(crate) async fn sweep(edge: sync::Arc<edge::Edge>) {
     let mut suspension = suspension::Suspension::new(clock::now(), boot::time());
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
         if let Some(duration) = suspension.check(clock::now(), boot::time()) {
             let millis = duration.as_millis() as u64;
-            tracing::warn!(millis, "edge: machine was suspended; idle connections closed");
-            edge.links.drop_idle();
+            tracing::warn!(millis, "edge: instance was suspended; idle connections closed");
+            edge.connections.drop_idle();
         }
-        edge.links.sweep();
+        edge.connections.sweep();
         let mut directory = edge.directory();
         while let Some(change) = directory.fleet.next_expired(clock::now()) {
             apply_change(&mut directory, Some(change), 0);
