--- a/crates/core/src/outlier.rs
+++ b/crates/core/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: compares the failure rate of a server with the other servers.
+//! Outlier detection: compares the failure rate of a server with those of the others.
 
 /// Moving average of the failures among the answers of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -11,8 +11,8 @@
 const MIN_WEIGHT: f64 = 0.1;
 /// Number of answers before a failure rate is compared.
 const MIN_ANSWERS: u32 = 10;
-/// A server is an outlier above this multiple of the usual rate plus the margin.
-const USUAL_FACTOR: f64 = 2.0;
+/// A server is an outlier if its rate is above this multiple of the median plus the margin.
+const MEDIAN_FACTOR: f64 = 2.0;
 const MARGIN: f64 = 0.2;
 
 impl FailureRate {
@@ -25,13 +25,13 @@
         self.rate += weight * (sample - self.rate);
     }
 
-    /// Whether the server fails far more often than the `usual` rate.
-    pub fn is_outlier(&self, usual: f64) -> bool {
-        self.answers >= MIN_ANSWERS && self.rate > USUAL_FACTOR * usual + MARGIN
+    /// Whether the rate is far above `median`, which is that of the other servers.
+    pub fn is_outlier(&self, median: f64) -> bool {
+        self.answers >= MIN_ANSWERS && self.rate > MEDIAN_FACTOR * median + MARGIN
     }
 }
 
-/// Median of the rates that are based on enough answers; `None` if there are none.
+/// Median of the rates that are based on enough answers; `None` if no rate is.
 pub fn median<'a>(rates: impl Iterator<Item = &'a FailureRate>) -> Option<f64> {
     let known = rates.filter(|rate| rate.answers >= MIN_ANSWERS);
     let mut rates: Vec<_> = known.map(|rate| rate.rate).collect();
