--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -29,8 +29,8 @@
     pub ejected_until: Option<time::Instant>,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Failures among its own answers to requests.
-    pub record: outlier::FailureRate,
+    /// Rate of failures among its own answers to requests.
+    pub failure_rate: outlier::FailureRate,
 }
 
 /// Parameters of the health checks.
@@ -132,7 +132,7 @@
             ejections: 0,
             ejected_until: None,
             leaving: false,
-            record: outlier::FailureRate::default(),
+            failure_rate: outlier::FailureRate::default(),
         };
         self.servers.entry(name.to_string()).or_insert_with(new).zone = zone.to_string();
     }
@@ -239,10 +239,10 @@
     /// of the others are ejected already.
     pub fn record_answer(&mut self, name: &str, has_failed: bool, now: time::Instant) {
         let Some(server) = self.servers.get_mut(name) else { return };
-        server.record.record(has_failed);
+        server.failure_rate.record(has_failed);
         let others: Vec<_> = self.servers.iter().filter(|(other, _)| *other != name).collect();
-        let records = others.iter().map(|(_, server)| &server.record);
-        let median = outlier::median(records);
+        let rates = others.iter().map(|(_, server)| &server.failure_rate);
+        let median = outlier::median(rates);
         let is_ejected = |server: &Server| server.ejected_until.is_some_and(|until| now < until);
         let ejected = others.iter().filter(|(_, server)| is_ejected(server)).count();
         let backoff = self.tuning.backoff;
@@ -250,9 +250,9 @@
             return;
         }
         if let (Some(server), Some(median)) = (self.servers.get_mut(name), median)
-            && server.record.is_outlier(median)
+            && server.failure_rate.is_outlier(median)
         {
-            server.record = outlier::FailureRate::default();
+            server.failure_rate = outlier::FailureRate::default();
             server.eject(FAILURE_EJECTION, backoff, now);
         }
     }
