--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -36,7 +36,7 @@
 /// Parameters of the health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Age of the last load report from which a server is treated like an ejected one, if set.
+    /// Age of the last load report above which a server is treated like an ejected one, if set.
     pub suspect_after: Option<time::Duration>,
     /// Whether consecutive ejections double in length.
     pub backoff: bool,
@@ -86,7 +86,7 @@
 
 /// Consecutive failures that eject a server.
 const EJECT_AFTER: u32 = 3;
-/// Most doublings of the length of an ejection.
+/// Maximum number of times that the length of an ejection doubles.
 const MAX_DOUBLINGS: u32 = 3;
 /// Length of the first ejection of a server that cannot be reached.
 const UNREACHABLE_EJECTION: time::Duration = time::Duration::from_secs(1);
@@ -94,7 +94,7 @@
 const FAILURE_EJECTION: time::Duration = time::Duration::from_secs(5);
 /// Share of a pool's servers that may be ejected as outliers, as a divisor.
 const MAX_EJECTED_DIVISOR: usize = 3;
-/// Age from which a load report is stale.
+/// Age above which a load report is stale.
 const STALE_AFTER: time::Duration = time::Duration::from_secs(5);
 /// Score of a server whose slots are all taken; the penalties below are in the same unit.
 const SCALE: u64 = 1000;
@@ -108,7 +108,7 @@
 const STALE_PENALTY: u64 = 500;
 
 impl Pool {
-    /// Makes an empty pool for an entry in `zone`.
+    /// Creates an empty pool for an entry in `zone`.
     pub fn new(zone: ids::ZoneName) -> Pool {
         let tuning = Tuning { suspect_after: None, backoff: false };
         Pool { zone, tuning, servers: collections::BTreeMap::new() }
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Estimated load of a server; none before its first report.
+    /// Estimated load of a server; `None` before its first report.
     pub fn estimate(&self, name: &str, now: time::Instant) -> Option<Estimate> {
         let reported_at = self.servers.get(name)?.reported_at?;
         Some(Estimate { busy: self.busy(name), age: now.saturating_duration_since(reported_at) })
