--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -21,7 +21,7 @@
 struct Reservation {
     granted_at: time::Instant,
     work: time::Duration,
-    // When the reservation is dropped; none once it is claimed.
+    // When the reservation is dropped; `None` once it is claimed.
     expires_at: Option<time::Instant>,
 }
 
@@ -30,7 +30,8 @@
 pub struct Slots {
     capacity: u32,
     max_waiting: usize,
-    hold: time::Duration,
+    // Time after which a reservation that is not claimed expires.
+    reservation_timeout: time::Duration,
     held: collections::BTreeMap<ids::RunId, Reservation>,
     // Work by run, ordered by the time until which a grant is useful.
     waiting: collections::BTreeMap<(time::Instant, ids::RunId), time::Duration>,
@@ -38,7 +39,7 @@
     mean_hold: time::Duration,
 }
 
-/// Mean time for which a slot is held, before any was freed.
+/// Assumed mean time for which a slot is held, until the first is freed.
 const INITIAL_HOLD: time::Duration = time::Duration::from_millis(500);
 /// Shortest retry time of a refusal.
 const MIN_RETRY: time::Duration = time::Duration::from_millis(100);
@@ -48,12 +49,13 @@
 const SPARE_DIVISOR: u32 = 10;
 
 impl Slots {
-    /// Makes `capacity` free slots; a reservation that is not claimed expires after `hold`.
-    pub fn new(capacity: u32, max_waiting: usize, hold: time::Duration) -> Slots {
+    /// Creates `capacity` free slots; a reservation that is not claimed expires after
+    /// `reservation_timeout`.
+    pub fn new(capacity: u32, max_waiting: usize, reservation_timeout: time::Duration) -> Slots {
         Slots {
             capacity,
             max_waiting,
-            hold,
+            reservation_timeout,
             held: collections::BTreeMap::new(),
             waiting: collections::BTreeMap::new(),
             mean_hold: INITIAL_HOLD,
@@ -120,7 +122,7 @@
     }
 
     fn grant(&mut self, run: ids::RunId, work: time::Duration, now: time::Instant) {
-        let expires_at = Some(now + self.hold);
+        let expires_at = Some(now + self.reservation_timeout);
         self.held.insert(run, Reservation { granted_at: now, work, expires_at });
     }
 
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: reservations, the queue for them, and that every slot is freed.
+//! Slots: reservations and the queue for them; every slot is freed in the end.
 
 mod random;
 
@@ -8,13 +8,13 @@
 
 use rhubarb_core::slots;
 
-const HOLD: time::Duration = time::Duration::from_secs(5);
+const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 const SECOND: time::Duration = time::Duration::from_secs(1);
 
 #[test]
 fn earliest_deadline_first() {
     let now = time::Instant::now();
-    let mut slots = slots::Slots::new(1, 8, HOLD);
+    let mut slots = slots::Slots::new(1, 8, RESERVATION_TIMEOUT);
     assert_eq!(slots.request(1, now + SECOND, now), slots::Answer::Granted);
     assert_eq!(slots.request(2, now + 9 * SECOND, now), slots::Answer::Queued);
     assert_eq!(slots.request(3, now + 4 * SECOND, now), slots::Answer::Queued);
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn hopeless_wait_refused() {
+fn long_wait_refused() {
     let now = time::Instant::now();
-    let mut slots = slots::Slots::new(1, 8, HOLD);
+    let mut slots = slots::Slots::new(1, 8, RESERVATION_TIMEOUT);
     slots.request(1, now + SECOND, now);
     let answer = slots.request(2, now + SECOND / 10, now);
     let slots::Answer::Refused(refusal) = answer else { panic!("{answer:?}") };
@@ -40,7 +40,7 @@
 #[test]
 fn full_queue_refused() {
     let now = time::Instant::now();
-    let mut slots = slots::Slots::new(1, 2, HOLD);
+    let mut slots = slots::Slots::new(1, 2, RESERVATION_TIMEOUT);
     for run in 1..=3 {
         let answer = slots.request(run, now + 60 * SECOND, now);
         assert!(!matches!(answer, slots::Answer::Refused(_)));
@@ -51,21 +51,21 @@
 #[test]
 fn unclaimed_dropped() {
     let now = time::Instant::now();
-    let mut slots = slots::Slots::new(1, 8, HOLD);
+    let mut slots = slots::Slots::new(1, 8, RESERVATION_TIMEOUT);
     slots.request(1, now + SECOND, now);
     slots.request(2, now + 2 * SECOND, now);
-    assert_eq!(slots.next_expired(now + HOLD / 2).map(|(run, _)| run), Some(2));
-    assert_eq!(slots.next_expired(now + 2 * HOLD).map(|(run, _)| run), Some(1));
+    assert_eq!(slots.next_expired(now + RESERVATION_TIMEOUT / 2).map(|(run, _)| run), Some(2));
+    assert_eq!(slots.next_expired(now + 2 * RESERVATION_TIMEOUT).map(|(run, _)| run), Some(1));
     assert!(!slots.claim(1), "the reservation was dropped");
 }
 
 #[test]
 fn claimed_kept() {
     let now = time::Instant::now();
-    let mut slots = slots::Slots::new(1, 8, HOLD);
+    let mut slots = slots::Slots::new(1, 8, RESERVATION_TIMEOUT);
     slots.request(1, now + SECOND, now);
     assert!(slots.claim(1));
-    assert_eq!(slots.next_expired(now + 100 * HOLD), None);
+    assert_eq!(slots.next_expired(now + 100 * RESERVATION_TIMEOUT), None);
 }
 
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
 
     #[test]
     fn all_slots_freed(ops in prop::collection::vec(op(), 1..200)) {
-        let mut slots = slots::Slots::new(3, 5, HOLD);
+        let mut slots = slots::Slots::new(3, 5, RESERVATION_TIMEOUT);
         let mut now = time::Instant::now();
         let mut requested = collections::BTreeSet::new();
         for op in ops {
