--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -7,7 +7,7 @@
 
 /// Version of the lease's row; the version of the newest write is the holder's fencing number.
 pub type Fence = u64;
-/// Time since the machine started, suspensions included.
+/// Time since the instance booted, suspensions included.
 pub type BootTime = time::Duration;
 
 /// One candidate's view of a lease.
@@ -41,14 +41,14 @@
     pub holder: &'a str,
 }
 
-/// Share of the length after which the holder must renew the lease before it acts again.
+/// Share of the length for which the holder may act after it has sent a renewal.
 const VALID_SHARE: f64 = 0.4;
-/// Time beyond the length before another candidate takes a lease over: clocks drift, and writes
-/// take time to arrive.
+/// Time beyond the length before another candidate takes over a lease: clocks drift, and writes
+/// arrive with a delay.
 const TAKEOVER_MARGIN: time::Duration = time::Duration::from_millis(500);
 
 impl Lease {
-    /// Makes the view of a candidate that writes its rows as `holder`.
+    /// Creates the view of a candidate that writes its rows as `holder`.
     pub fn new(holder: String, length: time::Duration) -> Lease {
         Lease { holder, length, seen: None, held: None }
     }
@@ -60,8 +60,8 @@
         Some(held.fence)
     }
 
-    /// Observes the row as read now; true if the candidate may write it, provided that the version
-    /// is unchanged.
+    /// Observes the row as read now; true if the candidate may write it, on the condition that its
+    /// version is still the same.
     pub fn observe(&mut self, row: Row<'_>, now: BootTime) -> bool {
         if self.seen.as_ref().is_none_or(|seen| seen.version != row.version) {
             self.seen = Some(Seen { version: row.version, since: now });
