--- a/crates/core/tests/leases.rs
+++ b/crates/core/tests/leases.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn suspended_holder() {
-    // The clock goes on during a suspension, so its holder does not act on the old lease after it.
+    // The clock goes on during a suspension, so a holder does not act on an old lease after one.
     let mut lease = candidate("a");
     lease.acquired(7, at(0));
     assert_eq!(lease.fence(at(4_000)), None);
@@ -59,9 +59,9 @@
 proptest! {
     #![proptest_config(random::config(256))]
 
-    // Candidates act at random, are suspended, and lose the answers of their writes. Two of them
-    // never act within the lease's length of each other, less the 1.2 s for which a renewal lets
-    // its holder act, and fencing numbers never decrease.
+    // Candidates act at random, are suspended, and lose the answers to their writes. A holder may
+    // act for 1.2 s after a renewal, so actions of different candidates must be at least the
+    // lease's length less 1.2 s apart. Fencing numbers never decrease.
     #[test]
     fn one_holder(steps in proptest::collection::vec((0usize..3, 0u64..1500, 0u8..4), 1..300)) {
         let names = ["a", "b", "c"];
@@ -69,15 +69,15 @@
         let (mut version, mut holder) = (0, String::new());
         let mut acted: Option<(usize, u64, u64)> = None;
         let mut now = 0;
-        for (who, pause, kind) in steps {
+        for (candidate, pause, kind) in steps {
             now += pause;
-            let lease = &mut leases[who];
+            let lease = &mut leases[candidate];
+            // Of the four kinds of step, 0 does not acquire the lease, and 1 loses the answer.
             if lease.fence(at(now)).is_none() && kind != 0 {
                 let row = lease::Row { version, holder: &holder };
                 if lease.observe(row, at(now)) {
                     version += 1;
-                    holder = names[who].to_string();
-                    // The answer to the write may be lost.
+                    holder = names[candidate].to_string();
                     if kind != 1 {
                         lease.acquired(version, at(now));
                     }
@@ -86,11 +86,11 @@
             let Some(fence) = lease.fence(at(now)) else { continue };
             if let Some((other, then, old)) = acted {
                 prop_assert!(fence >= old, "{fence} after {old}");
-                let is_takeover = other != who;
+                let is_takeover = other != candidate;
                 prop_assert!(!is_takeover || now >= then + LENGTH.as_millis() as u64 - 1_200,
-                    "{other} at {then}, {who} at {now}");
+                    "{other} at {then}, {candidate} at {now}");
             }
-            acted = Some((who, now, fence));
+            acted = Some((candidate, now, fence));
         }
     }
 }
