--- a/crates/core/src/suspension.rs
+++ b/crates/core/src/suspension.rs
@@ -1,4 +1,5 @@
-//! Detects that the process was suspended, from two clocks of which one stops meanwhile.
+//! Detects that the instance was suspended, by comparing a clock that stops meanwhile with one that
+//! goes on.
 
 use std::time;
 
@@ -11,8 +12,8 @@
     boot: lease::BootTime,
 }
 
-/// Shortest suspension that is reported; the clocks are read one after the other and differ by
-/// less than this without a suspension.
+/// Shortest suspension that is reported: the clocks are read one after the other, and without a
+/// suspension their readings differ by less than this.
 const MIN_SUSPENSION: time::Duration = time::Duration::from_millis(300);
 
 impl Suspension {
--- a/crates/core/tests/clocks.rs
+++ b/crates/core/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Suspended machines, and wall clocks that are set.
+//! Suspended instances, and wall clocks that are set.
 
 use std::{fs, path, time};
 
