--- a/crates/core/tests/datagram_loss.rs
+++ b/crates/core/tests/datagram_loss.rs
@@ -75,22 +75,36 @@
         for (seq, step) in (1u64..).zip(steps) {
             now += step.pause_ms * MILLI;
             if step.reserves {
-                let place =
+                let position =
                     engines::Position { overdue: false, arrived: now, run: ids::RunId::from(seq) };
-                let id = peer.reserve(place, NEED, |_| true, seq, now);
-                runs.extend(id.map(|id| (id, place.run)));
+                let id = peer.reserve(position, NEED, |_| true, seq, now);
+                runs.extend(id.map(|id| (id, position.run)));
             } else if let Some((id, run)) = runs.pop() {
                 peer.release(&id, run, now);
             }
             if !step.is_lost {
-let copies = if step.is_duplicated { 2 } else { 1 }; let datagram = (step.delay, seq, peer.commitments(now)); in_flight.extend(std::iter::repeat_n(datagram, copies));
+                let copies = if step.is_duplicated { 2 } else { 1 };
+                let datagram = (step.delay, seq, peer.commitments(now));
+                in_flight.extend(std::iter::repeat_n(datagram, copies));
             }
-let (due, delayed) = in_flight.into_iter().partition::<Vec<_>, _>(|(delay, ..)| *delay == 0); in_flight = delayed .into_iter() .map(|(delay, seq, commitments)| (delay - 1, seq, commitments)) .collect(); for (_, seq, commitments) in due { if members.record_heartbeat(ip, 1, seq, now) { own.update_peer(PEER, &commitments, now);
+            let (due, delayed) =
+                in_flight.into_iter().partition::<Vec<_>, _>(|(delay, ..)| *delay == 0);
+            in_flight = delayed
+                .into_iter()
+                .map(|(delay, seq, commitments)| (delay - 1, seq, commitments))
+                .collect();
+            for (_, seq, commitments) in due {
+                if members.record_heartbeat(ip, 1, seq, now) {
+                    own.update_peer(PEER, &commitments, now);
                     prop_assert!(newest.as_ref().is_none_or(|(old, ..)| *old < seq));
                     newest = Some((seq, commitments, now));
                 }
             }
-let is_fresh = |at: time::Instant| now <= at + engine::PEER_TIMEOUT; let report = newest.as_ref().filter(|(.., at)| is_fresh(*at)); let expected = report.map_or(0, |(_, commitments, _)| tokens(commitments)); let capacity = 2 * (40_000.0 * 0.95) as u64; prop_assert_eq!(u64::from(own.fill(now)), expected * 1000 / capacity);
+            let is_fresh = |at: time::Instant| now <= at + engine::PEER_TIMEOUT;
+            let report = newest.as_ref().filter(|(.., at)| is_fresh(*at));
+            let expected = report.map_or(0, |(_, commitments, _)| tokens(commitments));
+            let capacity = 2 * (40_000.0 * 0.95) as u64;
+            prop_assert_eq!(u64::from(own.fill(now)), expected * 1000 / capacity);
         }
     }
 }
