--- a/crates/core/src/stages.rs
+++ b/crates/core/src/stages.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    // Costs since `earlier`; none with too few requests since then, or if an entry has restarted
+    // Costs since `earlier`; `None` with too few requests since then, or if an entry has restarted
     // and its counts begin at zero again.
     fn costs_since(&self, earlier: &Usage) -> Option<Costs> {
         let prompts = self.prompts.checked_sub(earlier.prompts)?;
@@ -114,7 +114,7 @@
 }
 
 impl Planner {
-    /// Mean costs of the last requests; none until enough have ended.
+    /// Mean costs of the requests in the sample window; `None` until enough have ended.
     pub fn costs(&mut self, usage: Usage, now: time::Instant) -> Option<Costs> {
         while self.history.get(1).is_some_and(|(at, _)| *at + SAMPLE_WINDOW <= now) {
             self.history.pop_front();
@@ -138,7 +138,8 @@
         candidates: &[Candidate],
         now: time::Instant,
     ) -> Vec<Change> {
-        let prefill = candidates.iter().filter(|one| one.stage == fleet::Stage::Prefill).count();
+        let is_prefill = |candidate: &&Candidate| candidate.stage == fleet::Stage::Prefill;
+        let prefill = candidates.iter().filter(is_prefill).count();
         let wanted = balanced(costs, candidates.len());
         let (surplus, count) = if prefill > wanted {
             (fleet::Stage::Prefill, prefill - wanted)
@@ -165,7 +166,7 @@
     }
 }
 
-// Chooses engines of stage `from`, each in the zone that has most of them left.
+// Chooses `count` engines of stage `from`, each in the zone with the most of them left.
 fn choose(from: fleet::Stage, count: usize, candidates: &[Candidate]) -> Vec<Change> {
     let mut zones: collections::BTreeMap<&ids::ZoneName, Vec<&ids::ServerName>> =
         collections::BTreeMap::new();
