--- a/crates/core/src/key_history.rs
+++ b/crates/core/src/key_history.rs
@@ -6,20 +6,22 @@
 
 use outcome::{RETRY_SOON, Reason, Refusal};
 
-/// Until when keys may have run without a record at one server, with the members of its service.
+/// Time until which keys may have run without a record at this server, and the members of its
+/// service.
 #[derive(Clone, Debug)]
 pub struct KeyHistory {
     server: ids::ServerName,
     members: owner::Members,
-    // Until this time, keys may have run without leaving a record here.
+    // Keys may have run without a record here until this time; `None` if the records are complete.
     incomplete_until: Option<time::Instant>,
     ticked_at: time::Instant,
-    // The platform's list lags, so the absence of this server counts only after its presence.
+    // Whether the platform's list has shown this server live. The list lags, so the server's absence
+    // from it counts only after that.
     seen_live: bool,
 }
 
 impl KeyHistory {
-    /// Creates a history without records from before `now`.
+    /// Creates the history of a server whose records begin at `now`.
     pub fn new(server: ids::ServerName, now: time::Instant) -> KeyHistory {
         KeyHistory {
             server,
