--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -19,7 +19,8 @@
     peers: collections::BTreeMap<net::IpAddr, Peer>,
     // Addresses that may be peers, and when they expire.
     candidates: collections::BTreeMap<net::IpAddr, time::Instant>,
-    // Numbers of live entries in the window, falling: each is larger than all later ones.
+    // Numbers of live entries in the window, without those that a later one equals or exceeds; the
+    // first is therefore the largest.
     counts: collections::VecDeque<(time::Instant, u32)>,
     // When the last peer joined or restarted.
     joined_at: Option<time::Instant>,
@@ -29,16 +30,16 @@
 const PEER_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 /// Time for which heartbeats are sent to a candidate address after it was announced.
 const CANDIDATE_TTL: time::Duration = time::Duration::from_secs(10);
-/// Window of the member count, of which the largest counts: entries that became unresponsive may
-/// still spend from the budgets.
+/// Window whose largest number of live entries shares the budgets: entries that became unresponsive
+/// may still spend from them.
 const COUNT_WINDOW: time::Duration = time::Duration::from_secs(20);
 /// Maximum number of peers with which one entry exchanges its state.
 pub const MAX_PEERS: usize = 40;
 /// Peers that one message announces: with [`MAX_PEERS`] and three messages per second, all are
 /// announced within about a third of [`CANDIDATE_TTL`].
 const ANNOUNCED: usize = 4;
-/// Time for which each message announces all peers after one has joined: three messages. The new
-/// peer thus learns early how many entries share the budgets.
+/// Time for which each message announces all peers after one has joined, about three messages. The
+/// new peer thus learns early how many entries share the budgets.
 const JOIN_PERIOD: time::Duration = time::Duration::from_secs(1);
 
 impl Members {
@@ -96,7 +97,6 @@
         while self.counts.front().is_some_and(|(at, _)| *at + COUNT_WINDOW < now) {
             self.counts.pop_front();
         }
-        // The series falls, so that the first number is the largest.
         while self.counts.back().is_some_and(|(_, count)| *count <= live) {
             self.counts.pop_back();
         }
