--- a/crates/core/src/section.rs
+++ b/crates/core/src/section.rs
@@ -32,7 +32,9 @@
     /// Line of the section header, from 1.
     pub line: usize,
     fields: Properties,
+    // Line number of each field by key.
     lines: collections::BTreeMap<String, usize>,
+    // Keys that were read; a field with any other key is unknown.
     known_keys: Vec<String>,
     mistakes: Vec<Mistake>,
 }
@@ -195,18 +197,18 @@
         words.map(str::to_string).collect()
     }
 
-    /// Value of `key` read by its `FromStr`, or `default`; `form` describes the expected form in the
-    /// mistake that is recorded for any other value.
+    /// Value of `key` parsed by `FromStr`, or `default` if it is missing. For an invalid value a
+    /// mistake is recorded, in which `form` describes the expected form.
     pub fn parsed<T: str::FromStr>(&mut self, key: &str, default: T, form: &str) -> T {
         self.read_with(key, default, form, |value| value.parse().ok())
     }
 
-    /// Duration of `key` such as `250ms`, `10s` or `5m`, or `default`.
+    /// Duration of `key`, such as `250ms`, `10s` or `5m`, or `default` if it is missing.
     pub fn duration(&mut self, key: &str, default: time::Duration) -> time::Duration {
         self.read_with(key, default, "a time such as 250ms, 10s or 5m", parse_duration)
     }
 
-    /// Value `yes` or `no` of `key`, or `default`.
+    /// Value `yes` or `no` of `key`, or `default` if it is missing.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         self.read_with(key, default, "yes or no", |value| match value {
             "yes" => Some(true),
