--- a/crates/core/src/parse.rs
+++ b/crates/core/src/parse.rs
@@ -13,8 +13,11 @@
 const DEFAULT_PLAIN_TARGET: time::Duration = time::Duration::from_millis(200);
 const DEFAULT_MAX_WAIT: time::Duration = time::Duration::from_secs(2);
 const DEFAULT_PLAIN_SLOTS: u32 = 64;
+/// Requests per second.
 const DEFAULT_CALLER_RATE: u32 = 100;
+/// Requests in flight.
 const DEFAULT_CALLER_CONCURRENCY: u32 = 50;
+/// Length of a SHA-256 digest in hexadecimal digits.
 const DIGEST_HEX_DIGITS: usize = 64;
 
 /// Parses and checks a service list.
@@ -40,6 +43,7 @@
 #[derive(Default)]
 struct Reader {
     list: list::ServiceList,
+    // Line numbers of the sections, of the sections that name a server, and of the caller keys.
     lines: collections::BTreeMap<String, usize>,
     servers: collections::BTreeMap<String, usize>,
     digests: collections::BTreeMap<String, usize>,
