--- a/crates/core/src/engines.rs
+++ b/crates/core/src/engines.rs
@@ -34,7 +34,7 @@
     pub run: ids::RunId,
 }
 
-/// Time before a full engine is asked again: about the interval at which its runs end.
+/// Time before a full engine is asked again: about the interval between the ends of its runs.
 const FULL_RETRY: time::Duration = time::Duration::from_millis(150);
 /// Prompt tokens that an engine reads in a millisecond.
 const TOKENS_PER_MS: u64 = 33;
@@ -47,7 +47,7 @@
 const MEMORY_STEPS: u32 = 16;
 /// Prefill engines whose waits fall into the same step of this length rank as equal.
 const PREFILL_STEP: time::Duration = time::Duration::from_millis(30);
-/// Wait that is added for a prefill engine in another availability zone.
+/// Time added to the expected wait at a prefill engine in another availability zone.
 const REMOTE_PENALTY: time::Duration = time::Duration::from_millis(60);
 /// Window over which the rate of grants is counted: about half the duration of an answer.
 const GRANT_WINDOW: time::Duration = time::Duration::from_secs(2);
@@ -201,7 +201,7 @@
     pub fn release(&mut self, id: &str, run: ids::RunId, now: time::Instant) {
         let Some(engine) = self.engines.get_mut(id) else { return };
         let Some(run) = engine.runs.remove(&run) else { return };
-        // A request that was refused or cancelled before its first token does not count.
+        // A run that generated no token, because it was refused or cancelled, does not count.
         if run.generated > 0 {
             self.usage.runs += 1;
         }
@@ -249,7 +249,8 @@
 
     /// Chooses the prefill engine with the shortest backlog; one outside `zone` gets a penalty.
     ///
-    /// Returns the engine and the expected time until it has read the prompt.
+    /// `allowed` limits the choice, and `draw` breaks ties. Returns the engine and the expected time
+    /// until it has read the prompt.
     pub fn pick_prefill(
         &self,
         tokens: u32,
