--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -99,7 +99,8 @@
     keys: collections::BTreeMap<ids::KeyHash, ids::RunId>,
     // Runs without a record that are refused if offered again, and whether they ran.
     tombstones: collections::BTreeMap<ids::RunId, Tombstone>,
-    // Runs ordered by time, so that a sweep reads only those that are due.
+    // Runs ordered by time, so that a sweep reads only those that are due: tombstones, open runs
+    // whose entry has lost contact, and ended runs without and with a key.
     tombstone_times: collections::BTreeSet<TimedRun>,
     lost: collections::BTreeSet<TimedRun>,
     ended: collections::BTreeSet<TimedRun>,
@@ -462,6 +463,7 @@
     }
 }
 
+// First run whose time is at least `wait` ago.
 fn first_due(
     times: &collections::BTreeSet<TimedRun>,
     wait: time::Duration,
