--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -62,6 +62,7 @@
     // Servers whose registrations disappeared around an outage of the registry, and when they are
     // removed.
     missing: collections::BTreeMap<ids::ServerName, time::Instant>,
+    // End of the grace period after the registry's last recovery.
     grace_until: Option<time::Instant>,
 }
 
