--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -32,7 +32,7 @@
 /// window.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    // `Some` holds the time at which the server was first seen to be gone.
+    // `None` for a server that is present, else when it was first seen to be gone.
     servers: collections::BTreeMap<ids::ServerName, Option<time::Instant>>,
 }
 
