--- a/crates/core/src/revisions.rs
+++ b/crates/core/src/revisions.rs
@@ -8,6 +8,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Revisions {
     current: revision::Revision,
+    // Encoded changes by the version that each leads to, without gaps up to the current one.
     recent: collections::BTreeMap<ids::ListVersion, String>,
 }
 
