--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -49,9 +49,9 @@
     pub refusals: collections::BTreeMap<String, u64>,
     /// Retries by the name of their reason.
     pub retries: collections::BTreeMap<String, u64>,
-    /// Requests that met all targets.
+    /// Requests that met all latency targets of their service.
     pub good: u64,
-    /// Tokens of requests that met both latency targets.
+    /// Tokens of requests that met all latency targets of their service.
     pub useful_tokens: u64,
     /// Tokens sent to callers.
     pub output_tokens: u64,
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Counts the tokens and times of a complete answer; `good` if it met all targets.
+    /// Counts the tokens and times of a complete answer; `good` says whether it met all latency
+    /// targets.
     pub fn count_answer(
         &mut self,
         first: time::Duration,
