--- a/crates/core/tests/engines.rs
+++ b/crates/core/tests/engines.rs
@@ -9,9 +9,9 @@
 
 fn engines(prefill: usize, decode: usize) -> engines::Engines {
     let mut engines = engines::Engines::default();
-    let stages = (0..prefill).map(|number| (format!("p-{number}"), fleet::Stage::Prefill));
-    let decoding = (0..decode).map(|number| (format!("d-{number}"), fleet::Stage::Decode));
-    for (id, stage) in stages.chain(decoding) {
+    let prefill = (0..prefill).map(|number| (format!("p-{number}"), fleet::Stage::Prefill));
+    let decode = (0..decode).map(|number| (format!("d-{number}"), fleet::Stage::Decode));
+    for (id, stage) in prefill.chain(decode) {
         engines.set(&id, &instance(stage), 16, 36_000);
     }
     engines
@@ -166,7 +166,7 @@
 
 #[test]
 fn decode_prefill_faster() {
-    // After a burst of prompts a decode engine reads a prompt sooner itself.
+    // After a burst of prompts, a decode engine that reads a prompt itself is done sooner.
     let now = time::Instant::now();
     let mut engines = engines(1, 1);
     assert!(
@@ -190,19 +190,19 @@
     for run in 0..9 {
         let id = engines.reserve(position(now, run), NEED, any, 0, now).unwrap();
         // Runs 0 to 3 generate no token; 2 and 3 hold memory for 3 s, as if waiting for a prefill.
-        let stay = if run < 2 { 10 * MILLI } else { 3_000 * MILLI };
+        let duration = if run < 2 { 10 * MILLI } else { 3_000 * MILLI };
         if run >= 4 {
             engines.record_progress(&id, run, 1);
         }
-        engines.release(&id, run, now + stay);
+        engines.release(&id, run, now + duration);
     }
     assert_eq!(engines.usage(now + 3_000 * MILLI).runs, 5);
 }
 
 #[test]
 fn overdue_last() {
-    // A refused request that is retried misses its target anyway; one that can still meet its
-    // target is served first.
+    // A request that was retried after a refusal misses its target anyway, so one that can still
+    // meet its target is served first.
     let now = time::Instant::now();
     let mut engines = engines(1, 2);
     engines.enqueue(overdue(now, 1));
