--- a/crates/core/tests/flow.rs
+++ b/crates/core/tests/flow.rs
@@ -15,7 +15,7 @@
     flow::Flow::new(flow::Path::Staged, flow::RetryPolicy::model(keyed, deadline))
 }
 
-fn steps(flow: &mut flow::Flow, events: &[Event]) -> Vec<Step> {
+fn handle_all(flow: &mut flow::Flow, events: &[Event]) -> Vec<Step> {
     let mut steps = Vec::new();
     for event in events {
         flow.handle(event);
@@ -42,7 +42,7 @@
 fn complete_answer() {
     let mut flow = model(false);
     let events = [Event::Begin, Event::Reserved, Event::Prefilled, Event::Streamed, Event::Ended];
-    let steps = steps(&mut flow, &events);
+    let steps = handle_all(&mut flow, &events);
     assert_eq!(steps, [Step::Reserve, Step::Prefill, Step::Send, Step::Finish]);
 }
 
@@ -54,7 +54,7 @@
             let mut flow = model(false);
             let mut events = path[..length].to_vec();
             events.extend([last.clone(), last.clone(), Event::Ended, Event::Reserved]);
-            let steps = steps(&mut flow, &events);
+            let steps = handle_all(&mut flow, &events);
             let finals = |step: &&Step| matches!(step, Step::Refuse(_) | Step::Finish);
             assert_eq!(steps.iter().filter(finals).count(), 1, "{length} {last:?}: {steps:?}");
             let is_release = |step: &Step| matches!(step, Step::Release(_));
@@ -69,7 +69,7 @@
     let events: Vec<_> = std::iter::once(Event::Begin)
         .chain((0..9).map(|_| failed(Outcome::NotRun, true)))
         .collect();
-    let steps = steps(&mut flow, &events);
+    let steps = handle_all(&mut flow, &events);
     let reserves = steps.iter().filter(|step| **step == Step::Reserve).count();
     assert_eq!(reserves, 1 + flow::MAX_RETRIES as usize);
     assert_eq!(last_outcome(&steps), Outcome::NotRun);
@@ -80,7 +80,7 @@
 fn unknown_persists() {
     let mut flow = model(false);
     let events = [Event::Begin, failed(Outcome::Unknown, true), failed(Outcome::NotRun, false)];
-    let steps = steps(&mut flow, &events);
+    let steps = handle_all(&mut flow, &events);
     assert_eq!(last_outcome(&steps), Outcome::Unknown, "the first attempt may have run");
 }
 
@@ -88,19 +88,19 @@
 fn keyed_once() {
     let mut flow = model(true);
     let events = [Event::Begin, Event::Reserved, Event::Prefilled, failed(Outcome::Unknown, true)];
-    let taken = steps(&mut flow, &events);
-    assert_eq!(last_outcome(&taken), Outcome::Unknown, "a keyed request is not retried");
+    let steps = handle_all(&mut flow, &events);
+    assert_eq!(last_outcome(&steps), Outcome::Unknown, "a keyed request is not retried");
 
     let mut flow = model(true);
-    let taken = steps(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true)]);
-    assert_eq!(taken.last(), Some(&Step::Reserve), "a request that did not run is retried");
+    let steps = handle_all(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true)]);
+    assert_eq!(steps.last(), Some(&Step::Reserve), "a request that did not run is retried");
 }
 
 #[test]
 fn keyed_replay() {
     let mut flow = model(true);
     let events = [Event::Begin, Event::Replayed, Event::Streamed, Event::Ended];
-    assert_eq!(steps(&mut flow, &events), [Step::Reserve, Step::Replay, Step::Finish]);
+    assert_eq!(handle_all(&mut flow, &events), [Step::Reserve, Step::Replay, Step::Finish]);
 }
 
 #[test]
@@ -113,8 +113,8 @@
         Event::Streamed,
         failed(Outcome::Unknown, true),
     ];
-    let taken = steps(&mut flow, &events);
-    assert_eq!(taken[taken.len() - 2..], [Step::Release(Reason::EngineFailed), Step::Reserve]);
+    let steps = handle_all(&mut flow, &events);
+    assert_eq!(steps[steps.len() - 2..], [Step::Release(Reason::EngineFailed), Step::Reserve]);
 }
 
 fn direct(kind: routing::Kind) -> flow::Flow {
@@ -126,28 +126,28 @@
 #[test]
 fn direct_retry() {
     let mut flow = direct(routing::Kind::Safe);
-    let taken = steps(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true), Event::Ended]);
-    let failed = Step::Release(Reason::EngineFailed);
-    assert_eq!(taken, [Step::Send, failed, Step::Send, Step::Finish]);
+    let steps = handle_all(&mut flow, &[Event::Begin, failed(Outcome::NotRun, true), Event::Ended]);
+    let release = Step::Release(Reason::EngineFailed);
+    assert_eq!(steps, [Step::Send, release, Step::Send, Step::Finish]);
 }
 
 #[test]
 fn runs_bounded() {
     let mut flow = direct(routing::Kind::Safe);
     let unknown = failed(Outcome::Unknown, true);
-    let taken = steps(&mut flow, &[Event::Begin, unknown.clone(), unknown]);
-    let sends = taken.iter().filter(|step| **step == Step::Send).count();
-    assert_eq!(sends, 2, "the policy allows two runs: {taken:?}");
-    assert_eq!(last_outcome(&taken), Outcome::Unknown);
+    let steps = handle_all(&mut flow, &[Event::Begin, unknown.clone(), unknown]);
+    let sends = steps.iter().filter(|step| **step == Step::Send).count();
+    assert_eq!(sends, 2, "the policy allows two runs: {steps:?}");
+    assert_eq!(last_outcome(&steps), Outcome::Unknown);
 }
 
 #[test]
 fn partial_answer() {
     let mut flow = direct(routing::Kind::Safe);
     let events = [Event::Begin, Event::Streamed, failed(Outcome::Unknown, true)];
-    let taken = steps(&mut flow, &events);
+    let steps = handle_all(&mut flow, &events);
     assert_eq!(
-        last_outcome(&taken),
+        last_outcome(&steps),
         Outcome::Unknown,
         "a partly sent plain answer is not restarted"
     );
