--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -54,7 +54,7 @@
     late_runs: u32,
     // Whether a decode slot is reserved.
     is_held: bool,
-    // Retries taken from the budget.
+    // Retries granted by the budget.
     retries: u32,
     sends: u32,
     // Whether the caller has received a part of an answer.
@@ -66,7 +66,7 @@
     flow: flow::Flow,
     policy: flow::RetryPolicy,
     truth: Truth,
-    // Answers of the retry budget, the last one first.
+    // Decisions of the retry budget, in reverse order.
     budget: Vec<bool>,
     now: time::Instant,
 }
@@ -81,7 +81,7 @@
         Event::Failed { server, refusal, retry }
     }
 
-    // Reservation or prefill, which send nothing to the caller.
+    // Executes a reservation or prefill, which sends nothing to the caller.
     fn stage(&mut self, action: Action, done: Event) -> Event {
         match action {
             Action::Succeed | Action::Partial => done,
@@ -97,8 +97,8 @@
         assert!(is_resumable || !self.truth.has_part, "a partly sent answer is restarted");
         let mut has_run = false;
         for action in actions.by_ref() {
-            // A request with a partial answer has run.
             match action {
+                // A request with a partial answer has run.
                 Action::Partial => {
                     self.truth.runs += u32::from(!has_run);
                     has_run = true;
