--- a/crates/core/tests/clocks.rs
+++ b/crates/core/tests/clocks.rs
@@ -9,8 +9,8 @@
 #[test]
 fn suspension_detected() {
     let (start, boot) = (time::Instant::now(), 5_000 * MILLI);
-    let mut clocks = suspension::Suspension::new(start, boot);
-    // Milliseconds that pass on each clock, and the suspension that is reported.
+    let mut detector = suspension::Suspension::new(start, boot);
+    // Milliseconds that pass on the monotonic and the boot clock, and the suspension reported.
     let cases = [
         (200, 200, None),
         (5_000, 5_000, None),
@@ -19,11 +19,11 @@
         (0, 90_000, Some(90_000)),
         (200, 200, None),
     ];
-    let (mut ran, mut passed) = (time::Duration::ZERO, boot);
+    let (mut running, mut boot) = (time::Duration::ZERO, boot);
     for (monotonic, elapsed, expected) in cases {
-        ran += monotonic * MILLI;
-        passed += elapsed * MILLI;
-        let found = clocks.check(start + ran, passed);
+        running += monotonic * MILLI;
+        boot += elapsed * MILLI;
+        let found = detector.check(start + running, boot);
         assert_eq!(found, expected.map(|millis: u32| millis * MILLI), "{monotonic} {elapsed}");
     }
 }
@@ -32,7 +32,7 @@
 #[test]
 fn no_wall_clock() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let mut read = 0;
+    let mut files = 0;
     for dir in ["crates/core/src", "crates/edge/src", "crates/wire/src", "platform/src"] {
         for entry in fs::read_dir(root.join(dir)).unwrap() {
             let path = entry.unwrap().path();
@@ -44,8 +44,8 @@
             for name in ["SystemTime", "unix_ms", "UNIX_EPOCH", "ClockId::Realtime"] {
                 assert!(!text.contains(name), "{name} in {}", path.display());
             }
-            read += 1;
+            files += 1;
         }
     }
-    assert!(read > 60, "{read} files");
+    assert!(files > 60, "{files} files");
 }
