--- a/crates/core/src/engines.rs
+++ b/crates/core/src/engines.rs
@@ -249,8 +249,8 @@
 
     /// Chooses the prefill engine with the shortest backlog; one outside `zone` gets a penalty.
     ///
-    /// `allowed` limits the choice, and `draw` breaks ties. Returns the engine and the expected time
-    /// until it has read the prompt.
+    /// `allowed` limits the choice, and `draw` breaks ties. Returns the engine and the expected
+    /// time until it has read the prompt.
     pub fn pick_prefill(
         &self,
         tokens: u32,
