--- a/crates/core/src/key_history.rs
+++ b/crates/core/src/key_history.rs
@@ -15,8 +15,8 @@
     // Keys may have run without a record here until this time; `None` if the records are complete.
     incomplete_until: Option<time::Instant>,
     ticked_at: time::Instant,
-    // Whether the platform's list has shown this server live. The list lags, so the server's absence
-    // from it counts only after that.
+    // Whether the platform's list has shown this server live. The list lags, so the server's
+    // absence from it counts only after that.
     seen_live: bool,
 }
 
