--- a/crates/core/src/prefill_time.rs
+++ b/crates/core/src/prefill_time.rs
@@ -2,9 +2,11 @@
 
 use std::time;
 
-/// Estimates the time to prefill a prompt of a given size.
+/// Estimates the time to prefill a prompt from its size, in a unit that the caller chooses, such as
+/// bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillTime {
+    // Mean time per unit of size, in nanoseconds.
     unit_nanos: f64,
 }
 
