--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget of one service at one entry.
+//! Retry budget of one service at one entry, independent of the other entries.
 
 use crate::outcome;
 
