--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -108,18 +108,19 @@
         }
         let content = revision::next_content(current.as_ref(), text, clock::unix_ms());
         let content = content.map_err(|_| CommandError::Input("the list has mistakes".into()))?;
-        let change = format!("{:032x}", rand::random::<u128>());
-        match self.table.commit(&list_writes(current.as_ref(), &content, expected, &change)).await {
+        let write_id = format!("{:032x}", rand::random::<u128>());
+        let writes = list_writes(current.as_ref(), &content, expected, &write_id);
+        match self.table.commit(&writes).await {
             Ok(table::WriteOutcome::Committed(version)) => Ok(Output {
                 text: format!("version {version} is accepted"),
-                json: json!({ "version": version, "change": change }),
+                json: json!({ "version": version, "change": write_id }),
             }),
             Ok(table::WriteOutcome::Conflict(row)) => {
                 Err(conflict(expected, row.map_or(0, |row| row.version)))
             }
             // The transaction may have been committed although its response was lost.
             Err(err) => Err(CommandError::Unavailable(format!(
-                "{err}; whether change {change} took effect is unknown: \
+                "{err}; whether change {write_id} took effect is unknown: \
                  run `rhubarb-ctl show` and compare its change before you apply again"
             ))),
         }
@@ -134,8 +135,10 @@
             let message = "no list was applied yet; run `rhubarb-ctl apply FILE --expect 0`";
             return Err(CommandError::Conflict(message.to_string()));
         };
-        let content: revision::Content = serde_json::from_str(&row.value)
-            .map_err(|err| CommandError::Conflict(format!("{err}; upgrade rhubarb-ctl")))?;
+        let content: revision::Content = serde_json::from_str(&row.value).map_err(|err| {
+            let message = format!("the list in force cannot be read: {err}; upgrade rhubarb-ctl");
+            CommandError::Conflict(message)
+        })?;
         let head = format!("# version {}, change {}\n", row.version, row.write_id);
         Ok(Output {
             text: format!("{head}{}", content.text),
