--- a/crates/ctl/src/store_commands.rs
+++ b/crates/ctl/src/store_commands.rs
@@ -14,7 +14,7 @@
 
 /// Timeout of one call to the store or to an instance.
 const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Metric of an entry that holds the version of the config in force there.
+/// Start of the line with the version of the config in force, in the metrics of an entry.
 const VERSION_METRIC: &str = "rhubarb_edge_config_version ";
 
 /// Runs the commands against the store of the platform.
@@ -120,6 +120,7 @@
         Ok(rows.map(|row| (row.key, row.value.map(text).unwrap_or_default())).collect())
     }
 
+    // Counts of servers by group, and the names of those whose registration cannot be read.
     async fn servers(
         &self,
     ) -> Result<
