--- a/crates/report/src/dates.rs
+++ b/crates/report/src/dates.rs
@@ -6,8 +6,8 @@
 /// Days from 0000-03-01, the start of the first era, to 1970-01-01.
 const EPOCH_DAYS: i64 = 719_468;
 
-/// Parses `YYYY-MM-DD`, meaning midnight UTC, or a number of milliseconds since 1970, into
-/// milliseconds since 1970.
+/// Parses `YYYY-MM-DD`, meaning midnight UTC, or a number of milliseconds since the Unix epoch,
+/// into milliseconds since the Unix epoch.
 ///
 /// Returns `None` for other text. The day is only checked to be from 1 to 31, whatever the month.
 pub fn parse_date(text: &str) -> Option<u64> {
@@ -36,7 +36,7 @@
         - EPOCH_DAYS
 }
 
-/// Formats a time in milliseconds since 1970 as `YYYY-MM-DDTHH:MM:SSZ`.
+/// Formats a time in milliseconds since the Unix epoch as `YYYY-MM-DDTHH:MM:SSZ`.
 pub fn format_time(millis: u64) -> String {
     let millis = millis as i64;
     let days = millis.div_euclid(DAY_MS) + EPOCH_DAYS;
