--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -29,6 +29,7 @@
 
 struct Options {
     source: Source,
+    // Times are in milliseconds since the Unix epoch.
     from: u64,
     to: u64,
     format: OutputFormat,
