--- a/crates/report/src/merge.rs
+++ b/crates/report/src/merge.rs
@@ -7,9 +7,9 @@
 /// Totals of an interval over all entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Start in milliseconds since 1970.
+    /// Start in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// End in milliseconds since 1970.
+    /// End in milliseconds since the Unix epoch.
     pub to_ms: u64,
     rows: collections::BTreeMap<(ids::ServiceName, ids::CallerName), usage::Totals>,
     // Times covered by the records of each process, by sequence number.
@@ -38,9 +38,9 @@
 pub struct Gap {
     /// Process whose records are missing.
     pub process: Process,
-    /// Start in milliseconds since 1970.
+    /// Start in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// End in milliseconds since 1970; `None` where the process ended without a last record.
+    /// End in milliseconds since the Unix epoch; `None` where the process ended without a last record.
     pub to_ms: Option<u64>,
 }
 
@@ -87,19 +87,22 @@
         for (process, spans) in &self.spans {
             gaps.extend(self.first_gap(process, spans));
             gaps.extend(inner_gaps(process, spans));
-            let Some(end) = spans.values().next_back().filter(|span| !span.last) else { continue };
-            let since_last = self.to_ms.min(now_ms).saturating_sub(end.to_ms);
-            // A live entry writes a record each interval, so a longer time without one is a gap.
-            if since_last > end.due_ms.max(2 * (end.to_ms - end.from_ms)).max(1) {
+            let Some(latest) = spans.values().next_back().filter(|span| !span.last) else {
+                continue;
+            };
+            let since_last = self.to_ms.min(now_ms).saturating_sub(latest.to_ms);
+            // A live entry writes again within `due_ms`, or within twice the interval of its latest
+            // record if that is longer; a longer time without a record is a gap.
+            if since_last > latest.due_ms.max(2 * (latest.to_ms - latest.from_ms)).max(1) {
                 let process = process.clone();
-                gaps.push(Gap { process, from_ms: end.to_ms, to_ms: None });
+                gaps.push(Gap { process, from_ms: latest.to_ms, to_ms: None });
             }
         }
         gaps
     }
 
-    // Records with lower numbers are only missing if the first one found starts after the report
-    // does; otherwise they ended before it.
+    // Records before the first one found are missing only if that one starts after the report does;
+    // otherwise they ended before the report.
     fn first_gap(
         &self,
         process: &Process,
