--- a/crates/report/src/render.rs
+++ b/crates/report/src/render.rs
@@ -50,7 +50,8 @@
     time.map_or("-".to_string(), |time| format!("{:.1}", time.as_secs_f64() * 1000.0))
 }
 
-/// Formats a report as a table for people, followed by the reasons and the gaps.
+/// Formats a report as a table for people, followed by the counts of each reason and the
+/// gaps.
 pub fn text(report: &merge::Report, now_ms: u64) -> String {
     let mut rows: Vec<[String; 14]> = vec![COLUMNS.map(str::to_string)];
     rows.extend(report.rows().map(|(service, caller, totals)| row_cells(service, caller, totals)));
