--- a/crates/slopes/src/control.rs
+++ b/crates/slopes/src/control.rs
@@ -9,7 +9,7 @@
 
 /// Servers in the subset of an entry.
 const SUBSET: u32 = 12;
-/// Servers of which a subset is chosen.
+/// Servers from which a subset is chosen.
 const CANDIDATES: u32 = 1333;
 /// Servers of which one owns a key.
 const OWNERS: u32 = 30;
@@ -74,7 +74,7 @@
         subset::choose("entry-1", "zone-1", &candidates, SUBSET as usize)
     });
     let names: Vec<ids::ServerName> = (0..OWNERS).map(|number| format!("yard-{number}")).collect();
-    meter.time("find the home of a key among 30 servers", 2_000, |number| {
+    meter.time("find the owner of a key among 30 servers", 2_000, |number| {
         owner::rank(u128::from(number), &names).len()
     });
 }
