--- a/crates/slopes/src/data.rs
+++ b/crates/slopes/src/data.rs
@@ -21,7 +21,7 @@
 pub(crate) fn measure_memory(meter: &mut meter::Meter) {
     let now = time::Instant::now();
     meter.memory("key record of a gate", KEYS, || full_gate(now));
-    meter.memory("limit of a caller", CALLERS, || all_limits(now));
+    meter.memory("limit of a caller", CALLERS, || caller_limiters(now));
     meter.memory("usage row of a service and caller", CALLERS, || {
         let mut ledger = usage::Ledger::new("entry-1".into(), 1, 0);
         for number in 0..CALLERS {
@@ -68,7 +68,7 @@
     });
 }
 
-fn limits() -> gate::Limits {
+fn gate_limits() -> gate::Limits {
     gate::Limits {
         window: time::Duration::from_secs(600),
         max_keys: KEYS as usize * 2,
@@ -77,7 +77,7 @@
 }
 
 fn open_gate(now: time::Instant) -> gate::Gate {
-    let mut gate = gate::Gate::new("yard-1".into(), limits(), now);
+    let mut gate = gate::Gate::new("yard-1".into(), gate_limits(), now);
     gate.observe(&["yard-1".to_string()], |_| false, now);
     gate.mark_history_complete();
     gate
@@ -112,7 +112,7 @@
         (gate.next_orphan(now), gate.next_expired(now))
     });
     let mut slots = slots::Slots::new(300, 64, time::Duration::from_secs(5));
-    meter.time("reserve and free a room", 20_000, |number| {
+    meter.time("reserve and free a slot", 20_000, |number| {
         let run = u128::from(number);
         slots.request(run, now + time::Duration::from_secs(2), now);
         slots.claim(run);
@@ -122,12 +122,12 @@
 
 fn measure_callers(meter: &mut meter::Meter) {
     let now = time::Instant::now();
-    let mut limits = all_limits(now);
+    let mut limiters = caller_limiters(now);
     meter.time("admit a request of one of 14000 callers", 20_000, |number| {
         let name = format!("caller-{}", number % CALLERS);
-        let limit = limits.get_mut(&name).expect("the caller is there");
-        let admitted = limit.admit(100, 50, 4, now);
-        limit.release();
+        let limiter = limiters.get_mut(&name).expect("each caller has a limiter");
+        let admitted = limiter.admit(100, 50, 4, now);
+        limiter.release();
         admitted
     });
     meter.time("digest a caller key", 10_000, |number| ids::key_digest(&number.to_string()));
@@ -142,14 +142,14 @@
     meter.size("usage row in a stored record", bytes / CALLERS as usize);
 }
 
-fn all_limits(
+fn caller_limiters(
     now: time::Instant,
 ) -> std::collections::BTreeMap<ids::CallerName, limit::CallerLimiter> {
-    let limits = (0..CALLERS).map(|number| {
+    let limiters = (0..CALLERS).map(|number| {
         let name = format!("caller-{number}");
         (name, limit::CallerLimiter::new(100, 4, now))
     });
-    limits.collect()
+    limiters.collect()
 }
 
 fn count_request(ledger: &mut usage::Ledger, number: u32) {
