--- a/crates/slopes/src/lists.rs
+++ b/crates/slopes/src/lists.rs
@@ -44,7 +44,7 @@
 
 pub(crate) fn measure_memory(meter: &mut meter::Meter) {
     let row = full_row();
-    meter.memory("edition of 14000 callers and 12000 servers", 1, || revision::read_row(1, &row));
+    meter.memory("revision of 14000 callers and 12000 servers", 1, || revision::read_row(1, &row));
 }
 
 fn full_row() -> String {
