--- a/crates/slopes/src/meter.rs
+++ b/crates/slopes/src/meter.rs
@@ -54,7 +54,7 @@
         self.record(label, growth / f64::from(count), "bytes of memory");
     }
 
-    /// Records a size.
+    /// Records a size in bytes.
     pub(crate) fn size(&mut self, label: &'static str, bytes: usize) {
         self.record(label, bytes as f64, "bytes");
     }
