--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -40,7 +40,7 @@
     pub(crate) streams: Vec<Stream>,
     /// Whether the next decode step is scheduled.
     pub(crate) stepping: bool,
-    /// Factor on the time of all work; 0 counts as 1.
+    /// Factor on the time of prefills and decode steps; 0 counts as 1.
     pub(crate) slowdown: u32,
     // Cached prefixes, least recently used first.
     prefixes: collections::VecDeque<u64>,
@@ -88,9 +88,9 @@
     }
 
     /// Queues the transfer of a prefill result over the link of this engine; returns when it ends.
-    pub(crate) fn transfer(&mut self, prompt: u32, now: time::Instant) -> time::Instant {
+    pub(crate) fn transfer(&mut self, prompt_tokens: u32, now: time::Instant) -> time::Instant {
         let start = self.link_free.map_or(now, |free| free.max(now));
-        let done = start + TRANSFER_PER_TOKEN * prompt;
+        let done = start + TRANSFER_PER_TOKEN * prompt_tokens;
         self.link_free = Some(done);
         done
     }
