--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -32,7 +32,9 @@
     pub(crate) unused_tokens: u32,
     /// Tokens sent to the caller.
     pub(crate) sent_tokens: u32,
+    /// When the caller receives the first token.
     pub(crate) first_at: Option<time::Instant>,
+    /// When the caller receives the latest token.
     pub(crate) last_at: Option<time::Instant>,
     pub(crate) closed: bool,
     /// Refusal or failure of the latest attempt that failed.
@@ -49,7 +51,7 @@
 pub(crate) const MEAN_PROMPT_TOKENS: f64 = 3071.0;
 /// Mean length of the log-uniformly distributed answers.
 pub(crate) const MEAN_OUTPUT_TOKENS: f64 = 78.2;
-/// Deadline of a request that the service list sets by default.
+/// Deadline of a request, the default of the service list.
 const DEADLINE: time::Duration = time::Duration::from_secs(60);
 /// Share of the requests that are cancelled under [`scenario::Fault::Cancels`].
 const CANCELLED_SHARE: f64 = 0.3;
