--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    // Usage totals as an entry counts them, in addition to the counters above.
+    // Totals of `caller` in the ledger, which is filled as an entry fills its own.
     fn totals(&mut self, caller: usize) -> &mut usage::Totals {
         self.ledger.totals(SERVICE, &format!("caller-{caller}"))
     }
