--- a/crates/bench/src/event.rs
+++ b/crates/bench/src/event.rs
@@ -30,7 +30,8 @@
     EngineStep { server: usize },
     /// The entry receives the end of an answer.
     Ended { id: AttemptId },
-    /// The entry learns that an attempt was refused or failed; `ran` if it may have run.
+    /// The entry learns that an attempt was refused or failed; `ran` says whether it may
+    /// have run.
     Refused { id: AttemptId, at_prefill: bool, reason: Reason, ran: bool },
     /// A server receives the cancellation of an attempt.
     Cancel { id: AttemptId, server: usize },
@@ -42,7 +43,7 @@
     ExpireWaits { server: usize },
     /// The fault of the scenario starts.
     FaultStarts,
-    /// The fault of the scenario ends, if it does.
+    /// The fault of the scenario ends, unless it is permanent.
     FaultEnds,
 }
 
