--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -23,7 +23,8 @@
 const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 /// Most attempts that wait for a slot of one server.
 const MAX_WAITING: usize = 64;
-/// Time until an entry closes a connection: the timeout of a ping, then the grace period.
+/// Time until an entry closes the connection of a server that stops answering: the timeout of a
+/// ping, then the grace period.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(3300);
 /// Time until connecting to an unresponsive server fails.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
@@ -223,8 +224,8 @@
         }
     }
 
-    fn attempt_id(&self, request: usize) -> AttemptId {
-        AttemptId { request, attempt: self.requests[request].attempt }
+    fn attempt_id(&self, number: usize) -> AttemptId {
+        AttemptId { request: number, attempt: self.requests[number].attempt }
     }
 
     fn reserve(&mut self, number: usize) {
@@ -265,7 +266,8 @@
         self.schedule(scenario::HOP_DELAY, Event::RequestDecode { id, server, prefilled_ms });
     }
 
-    // Chooses a server, and records that the request is sent to it.
+    // Chooses a server, and records in its pool that the request is sent to it; round robin uses no
+    // pool.
     fn choose(&mut self, number: usize, is_prefill: bool) -> Option<usize> {
         let random = self.random.next();
         let request = &self.requests[number];
@@ -426,7 +428,7 @@
         self.schedule(after, Event::Refused { id, at_prefill, reason, ran });
     }
 
-    // Whether a message reaches the server; otherwise schedules the failure at its entry.
+    // Returns whether a message reaches the server; otherwise schedules the failure at its entry.
     fn check_reachable(&mut self, id: AttemptId, server: usize, at_prefill: bool) -> bool {
         let (crashed, unresponsive) =
             (self.servers[server].crashed, self.servers[server].unresponsive);
@@ -556,8 +558,8 @@
 
     fn transfer(&mut self, id: AttemptId, server: usize, prefilled_at: time::Instant) {
         let source = self.requests[id.request].source_server;
-        let prompt = self.requests[id.request].prompt_tokens;
-        let ends_at = self.servers[source].engine.transfer(prompt, self.now);
+        let prompt_tokens = self.requests[id.request].prompt_tokens;
+        let ends_at = self.servers[source].engine.transfer(prompt_tokens, self.now);
         let evicted_at = prefilled_at + engine::RESULT_LIFETIME;
         if ends_at > evicted_at {
             let wait = evicted_at.saturating_duration_since(self.now) + scenario::HOP_DELAY;
