--- a/crates/bench/src/event.rs
+++ b/crates/bench/src/event.rs
@@ -10,7 +10,7 @@
     /// A request arrives at its entry.
     Arrive(usize),
     /// The caller of a request closes its connection.
-    CallerLeaves(usize),
+    CallerGone(usize),
     /// A decode server receives the request for a slot.
     RequestSlot { id: AttemptId, server: usize },
     /// The entry receives the grant of a slot.
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -127,7 +127,7 @@
             let request = request::draw(&mut self.random, caller, arrived_at, self.scenario.fault);
             let number = self.requests.len();
             if let Some(cancelled_at) = request.cancelled_at {
-                self.schedule_at(cancelled_at, Event::CallerLeaves(number));
+                self.schedule_at(cancelled_at, Event::CallerGone(number));
             }
             self.requests.push(request);
             self.schedule_at(arrived_at + self.scenario.fleet.caller_delay, Event::Arrive(number));
@@ -156,7 +156,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::CallerLeaves(request) => self.update_request(request, &flow::Event::CallerGone),
+            Event::CallerGone(request) => self.update_request(request, &flow::Event::CallerGone),
             Event::RequestSlot { id, server } => self.request_slot(id, server),
             Event::Granted { id } => self.update_attempt(id, &flow::Event::Reserved),
             Event::RequestPrefill { id, server } => self.request_prefill(id, server),
