--- a/crates/bench/src/event.rs
+++ b/crates/bench/src/event.rs
@@ -30,9 +30,9 @@
     EngineStep { server: usize },
     /// The entry receives the end of an answer.
     Ended { id: AttemptId },
-    /// The entry learns that an attempt was refused or failed; `ran` says whether it may
-    /// have run.
-    Refused { id: AttemptId, at_prefill: bool, reason: Reason, ran: bool },
+    /// The entry learns that an attempt was refused or failed: `is_prefill` if at the prefill
+    /// server, and `ran` if it may have run.
+    Refused { id: AttemptId, is_prefill: bool, reason: Reason, ran: bool },
     /// A server receives the cancellation of an attempt.
     Cancel { id: AttemptId, server: usize },
     /// A server sends its load report to an entry.
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -168,8 +168,8 @@
             Event::TransferEnds { id, server } => self.transfer_ends(id, server),
             Event::EngineStep { server } => self.engine_step(server),
             Event::Ended { id } => self.update_attempt(id, &flow::Event::Ended),
-            Event::Refused { id, at_prefill, reason, ran } => {
-                self.handle_refusal(id, at_prefill, reason, ran);
+            Event::Refused { id, is_prefill, reason, ran } => {
+                self.handle_refusal(id, is_prefill, reason, ran);
             }
             Event::Cancel { id, server } => self.cancel(id, server),
             Event::SendReport { entry, server } => self.send_report(entry, server),
@@ -340,12 +340,12 @@
         );
     }
 
-    fn handle_refusal(&mut self, id: AttemptId, at_prefill: bool, reason: Reason, ran: bool) {
+    fn handle_refusal(&mut self, id: AttemptId, is_prefill: bool, reason: Reason, ran: bool) {
         let request = &self.requests[id.request];
         if request.attempt != id.attempt || request.closed {
             return;
         }
-        let server = if at_prefill { request.prefill_server } else { request.decode_server };
+        let server = if is_prefill { request.prefill_server } else { request.decode_server };
         let server = server.map(|server| self.servers[server].name.clone());
         let refusal = if ran {
             Refusal::unknown(reason, RETRY_SOON)
@@ -356,7 +356,7 @@
         let entry = request.entry;
         let retry = may_retry && self.entries[entry].retry_budget.try_withdraw(reason);
         self.requests[id.request].refusal = Some(refusal);
-        self.record_end(id.request, at_prefill, pool::ServerOutcome::Failure(reason));
+        self.record_end(id.request, is_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
             self.record_source_outcome(id.request, pool::ServerOutcome::Failure(reason));
         }
@@ -420,22 +420,22 @@
     fn schedule_refusal(
         &mut self,
         id: AttemptId,
-        at_prefill: bool,
+        is_prefill: bool,
         reason: Reason,
         ran: bool,
         after: time::Duration,
     ) {
-        self.schedule(after, Event::Refused { id, at_prefill, reason, ran });
+        self.schedule(after, Event::Refused { id, is_prefill, reason, ran });
     }
 
     // Returns whether a message reaches the server; otherwise schedules the failure at its entry.
-    fn check_reachable(&mut self, id: AttemptId, server: usize, at_prefill: bool) -> bool {
+    fn check_reachable(&mut self, id: AttemptId, server: usize, is_prefill: bool) -> bool {
         let (crashed, unresponsive) =
             (self.servers[server].crashed, self.servers[server].unresponsive);
         if crashed {
-            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
+            self.schedule_refusal(id, is_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
         } else if unresponsive {
-            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, CONNECT_TIMEOUT);
+            self.schedule_refusal(id, is_prefill, Reason::NoServer, false, CONNECT_TIMEOUT);
         }
         !crashed && !unresponsive
     }
@@ -674,10 +674,10 @@
         if self.servers[server].is_responsive() {
             while let Some((run, refusal)) = self.servers[server].slots.next_expired(self.now) {
                 if let Some(id) = self.servers[server].waiting.remove(&run) {
-                    let at_prefill = server < self.scenario.fleet.prefill_servers;
+                    let is_prefill = server < self.scenario.fleet.prefill_servers;
                     self.schedule_refusal(
                         id,
-                        at_prefill,
+                        is_prefill,
                         refusal.reason,
                         false,
                         scenario::HOP_DELAY,
@@ -726,11 +726,11 @@
     fn lose_contact(&mut self, server: usize) {
         for number in 0..self.requests.len() {
             let request = &self.requests[number];
-            let at_prefill = request.prefill_server == Some(server);
-            if !request.closed && (at_prefill || request.decode_server == Some(server)) {
+            let is_prefill = request.prefill_server == Some(server);
+            if !request.closed && (is_prefill || request.decode_server == Some(server)) {
                 let id = self.attempt_id(number);
-                let ran = !at_prefill;
-                self.schedule_refusal(id, at_prefill, Reason::LostContact, ran, LOST_AFTER);
+                let ran = !is_prefill;
+                self.schedule_refusal(id, is_prefill, Reason::LostContact, ran, LOST_AFTER);
             }
         }
     }
