--- a/crates/report/src/merge.rs
+++ b/crates/report/src/merge.rs
@@ -40,7 +40,8 @@
     pub process: Process,
     /// Start in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// End in milliseconds since the Unix epoch; `None` where the process ended without a last record.
+    /// End in milliseconds since the Unix epoch; `None` where the process ended without a last
+    /// record.
     pub to_ms: Option<u64>,
 }
 
