--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -211,8 +211,8 @@
 }
 
 // Writes of the transaction that puts a list in force: the list, its head, and the change from the
-// previous list. The change is empty for the first list and if sections were reordered; readers then
-// read the whole list.
+// previous list. The change is empty for the first list and if sections were reordered; in both
+// cases readers read the whole list.
 fn list_writes(
     current: Option<&revision::Revision>,
     content: &revision::Content,
