--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -15,9 +15,10 @@
     pub first_token: time::Duration,
     /// Target for the mean time between tokens.
     pub between_tokens: time::Duration,
-    /// Longest wait for a decode slot.
+    /// Longest wait for a decode slot, and of a prompt that cannot meet the first-token target.
     pub max_wait: time::Duration,
-    /// Longest duration of a request.
+    /// Time after the arrival of a request until which it may wait for a slot, unless its prompt
+    /// has a latest start.
     pub deadline: time::Duration,
     /// One-way delay between a caller and an entry.
     pub caller_delay: time::Duration,
