--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -36,7 +36,9 @@
 /// Counters from which the results are computed.
 #[derive(Debug)]
 pub(crate) struct Counters {
+    // Prompt tokens prefilled.
     prefilled: u64,
+    // Prompt tokens prefilled whose result was never used.
     wasted: u64,
     results: Results,
     ledger: usage::Ledger,
