--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -15,7 +15,8 @@
     pub first_token: time::Duration,
     /// Target for the mean time between tokens.
     pub between_tokens: time::Duration,
-    /// Longest wait for a decode slot, and of a prompt that cannot meet the first-token target.
+    /// Longest wait for a decode slot; a prompt that cannot meet the first-token target waits for at
+    /// most this long after it.
     pub max_wait: time::Duration,
     /// Time after the arrival of a request until which it may wait for a slot, unless its prompt
     /// has a latest start.
