--- a/crates/bench/src/event.rs
+++ b/crates/bench/src/event.rs
@@ -10,7 +10,7 @@
     /// A request arrives at its entry.
     Arrive(usize),
     /// The caller of a request closes its connection.
-    CallerLeaves(usize),
+    CallerGone(usize),
     /// A decode server receives the request for a slot.
     RequestSlot { id: AttemptId, server: usize },
     /// The entry receives the grant of a slot.
@@ -30,8 +30,9 @@
     EngineStep { server: usize },
     /// The entry receives the end of an answer.
     Ended { id: AttemptId },
-    /// The entry learns that an attempt was refused or failed; `ran` if it may have run.
-    Refused { id: AttemptId, at_prefill: bool, reason: Reason, ran: bool },
+    /// The entry learns that an attempt was refused or failed: `is_prefill` if at the prefill
+    /// server, and `ran` if it may have run.
+    Refused { id: AttemptId, is_prefill: bool, reason: Reason, ran: bool },
     /// A server receives the cancellation of an attempt.
     Cancel { id: AttemptId, server: usize },
     /// A server sends its load report to an entry.
@@ -42,7 +43,7 @@
     ExpireWaits { server: usize },
     /// The fault of the scenario starts.
     FaultStarts,
-    /// The fault of the scenario ends, if it does.
+    /// The fault of the scenario ends, unless it is permanent.
     FaultEnds,
 }
 
--- a/crates/bench/src/results.rs
+++ b/crates/bench/src/results.rs
@@ -36,7 +36,9 @@
 /// Counters from which the results are computed.
 #[derive(Debug)]
 pub(crate) struct Counters {
+    // Prompt tokens prefilled.
     prefilled: u64,
+    // Prompt tokens prefilled whose result was never used.
     wasted: u64,
     results: Results,
     ledger: usage::Ledger,
@@ -63,7 +65,7 @@
         }
     }
 
-    // Usage totals as an entry counts them, in addition to the counters above.
+    // Totals of `caller` in the ledger, which is filled as an entry fills its own.
     fn totals(&mut self, caller: usize) -> &mut usage::Totals {
         self.ledger.totals(SERVICE, &format!("caller-{caller}"))
     }
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -23,7 +23,8 @@
 const RESERVATION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 /// Most attempts that wait for a slot of one server.
 const MAX_WAITING: usize = 64;
-/// Time until an entry closes a connection: the timeout of a ping, then the grace period.
+/// Time until an entry closes the connection of a server that stops answering: the timeout of a
+/// ping, then the grace period.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(3300);
 /// Time until connecting to an unresponsive server fails.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
@@ -126,7 +127,7 @@
             let request = request::draw(&mut self.random, caller, arrived_at, self.scenario.fault);
             let number = self.requests.len();
             if let Some(cancelled_at) = request.cancelled_at {
-                self.schedule_at(cancelled_at, Event::CallerLeaves(number));
+                self.schedule_at(cancelled_at, Event::CallerGone(number));
             }
             self.requests.push(request);
             self.schedule_at(arrived_at + self.scenario.fleet.caller_delay, Event::Arrive(number));
@@ -155,7 +156,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::CallerLeaves(request) => self.update_request(request, &flow::Event::CallerGone),
+            Event::CallerGone(request) => self.update_request(request, &flow::Event::CallerGone),
             Event::RequestSlot { id, server } => self.request_slot(id, server),
             Event::Granted { id } => self.update_attempt(id, &flow::Event::Reserved),
             Event::RequestPrefill { id, server } => self.request_prefill(id, server),
@@ -167,8 +168,8 @@
             Event::TransferEnds { id, server } => self.transfer_ends(id, server),
             Event::EngineStep { server } => self.engine_step(server),
             Event::Ended { id } => self.update_attempt(id, &flow::Event::Ended),
-            Event::Refused { id, at_prefill, reason, ran } => {
-                self.handle_refusal(id, at_prefill, reason, ran);
+            Event::Refused { id, is_prefill, reason, ran } => {
+                self.handle_refusal(id, is_prefill, reason, ran);
             }
             Event::Cancel { id, server } => self.cancel(id, server),
             Event::SendReport { entry, server } => self.send_report(entry, server),
@@ -223,8 +224,8 @@
         }
     }
 
-    fn attempt_id(&self, request: usize) -> AttemptId {
-        AttemptId { request, attempt: self.requests[request].attempt }
+    fn attempt_id(&self, number: usize) -> AttemptId {
+        AttemptId { request: number, attempt: self.requests[number].attempt }
     }
 
     fn reserve(&mut self, number: usize) {
@@ -265,7 +266,8 @@
         self.schedule(scenario::HOP_DELAY, Event::RequestDecode { id, server, prefilled_ms });
     }
 
-    // Chooses a server, and records that the request is sent to it.
+    // Chooses a server, and records in its pool that the request is sent to it; round robin uses no
+    // pool.
     fn choose(&mut self, number: usize, is_prefill: bool) -> Option<usize> {
         let random = self.random.next();
         let request = &self.requests[number];
@@ -338,12 +340,12 @@
         );
     }
 
-    fn handle_refusal(&mut self, id: AttemptId, at_prefill: bool, reason: Reason, ran: bool) {
+    fn handle_refusal(&mut self, id: AttemptId, is_prefill: bool, reason: Reason, ran: bool) {
         let request = &self.requests[id.request];
         if request.attempt != id.attempt || request.closed {
             return;
         }
-        let server = if at_prefill { request.prefill_server } else { request.decode_server };
+        let server = if is_prefill { request.prefill_server } else { request.decode_server };
         let server = server.map(|server| self.servers[server].name.clone());
         let refusal = if ran {
             Refusal::unknown(reason, RETRY_SOON)
@@ -354,7 +356,7 @@
         let entry = request.entry;
         let retry = may_retry && self.entries[entry].retry_budget.try_withdraw(reason);
         self.requests[id.request].refusal = Some(refusal);
-        self.record_end(id.request, at_prefill, pool::ServerOutcome::Failure(reason));
+        self.record_end(id.request, is_prefill, pool::ServerOutcome::Failure(reason));
         if reason == Reason::Evicted {
             self.record_source_outcome(id.request, pool::ServerOutcome::Failure(reason));
         }
@@ -418,22 +420,22 @@
     fn schedule_refusal(
         &mut self,
         id: AttemptId,
-        at_prefill: bool,
+        is_prefill: bool,
         reason: Reason,
         ran: bool,
         after: time::Duration,
     ) {
-        self.schedule(after, Event::Refused { id, at_prefill, reason, ran });
+        self.schedule(after, Event::Refused { id, is_prefill, reason, ran });
     }
 
-    // Whether a message reaches the server; otherwise schedules the failure at its entry.
-    fn check_reachable(&mut self, id: AttemptId, server: usize, at_prefill: bool) -> bool {
+    // Returns whether a message reaches the server; otherwise schedules the failure at its entry.
+    fn check_reachable(&mut self, id: AttemptId, server: usize, is_prefill: bool) -> bool {
         let (crashed, unresponsive) =
             (self.servers[server].crashed, self.servers[server].unresponsive);
         if crashed {
-            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
+            self.schedule_refusal(id, is_prefill, Reason::NoServer, false, scenario::HOP_DELAY);
         } else if unresponsive {
-            self.schedule_refusal(id, at_prefill, Reason::NoServer, false, CONNECT_TIMEOUT);
+            self.schedule_refusal(id, is_prefill, Reason::NoServer, false, CONNECT_TIMEOUT);
         }
         !crashed && !unresponsive
     }
@@ -556,8 +558,8 @@
 
     fn transfer(&mut self, id: AttemptId, server: usize, prefilled_at: time::Instant) {
         let source = self.requests[id.request].source_server;
-        let prompt = self.requests[id.request].prompt_tokens;
-        let ends_at = self.servers[source].engine.transfer(prompt, self.now);
+        let prompt_tokens = self.requests[id.request].prompt_tokens;
+        let ends_at = self.servers[source].engine.transfer(prompt_tokens, self.now);
         let evicted_at = prefilled_at + engine::RESULT_LIFETIME;
         if ends_at > evicted_at {
             let wait = evicted_at.saturating_duration_since(self.now) + scenario::HOP_DELAY;
@@ -672,10 +674,10 @@
         if self.servers[server].is_responsive() {
             while let Some((run, refusal)) = self.servers[server].slots.next_expired(self.now) {
                 if let Some(id) = self.servers[server].waiting.remove(&run) {
-                    let at_prefill = server < self.scenario.fleet.prefill_servers;
+                    let is_prefill = server < self.scenario.fleet.prefill_servers;
                     self.schedule_refusal(
                         id,
-                        at_prefill,
+                        is_prefill,
                         refusal.reason,
                         false,
                         scenario::HOP_DELAY,
@@ -724,11 +726,11 @@
     fn lose_contact(&mut self, server: usize) {
         for number in 0..self.requests.len() {
             let request = &self.requests[number];
-            let at_prefill = request.prefill_server == Some(server);
-            if !request.closed && (at_prefill || request.decode_server == Some(server)) {
+            let is_prefill = request.prefill_server == Some(server);
+            if !request.closed && (is_prefill || request.decode_server == Some(server)) {
                 let id = self.attempt_id(number);
-                let ran = !at_prefill;
-                self.schedule_refusal(id, at_prefill, Reason::LostContact, ran, LOST_AFTER);
+                let ran = !is_prefill;
+                self.schedule_refusal(id, is_prefill, Reason::LostContact, ran, LOST_AFTER);
             }
         }
     }
