--- a/crates/e2e/benches/overhead.rs
+++ b/crates/e2e/benches/overhead.rs
@@ -26,9 +26,9 @@
         samples[0].push(complete_direct(&stack, &direct, &prompt).await?);
         let reply = caller.complete(&prompt, TOKENS).await?;
         anyhow::ensure!(reply.status == 200, "the entry responded: {}", reply.body);
-        samples[1].push(reply.taken);
+        samples[1].push(reply.elapsed);
         samples[2].push(call_direct(&stack, &direct).await?);
-        samples[3].push(caller.call(hyper::Method::GET, "/yard-app/x", &[], "").await?.taken);
+        samples[3].push(caller.call(hyper::Method::GET, "/yard-app/x", &[], "").await?.elapsed);
     }
     println!("| call | median | 95th percentile |\n|---|---:|---:|");
     let names = ["completion, direct", "completion, path", "plain, direct", "plain, path"];
--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -53,7 +53,7 @@
             status: head.status.as_u16(),
             headers: head.headers,
             body: body.map(|body| String::from_utf8_lossy(&body).into_owned()),
-            taken: start.elapsed(),
+            elapsed: start.elapsed(),
         })
     }
 }
@@ -68,7 +68,7 @@
     /// Response body; `None` if it was cut off.
     pub body: Option<String>,
     /// Time from sending the request to the end of the response.
-    pub taken: time::Duration,
+    pub elapsed: time::Duration,
 }
 
 impl Reply {
--- a/crates/e2e/src/caller.rs
+++ b/crates/e2e/src/caller.rs
@@ -26,7 +26,7 @@
     /// Response body.
     pub body: String,
     /// Time from sending the request to the end of the response.
-    pub taken: time::Duration,
+    pub elapsed: time::Duration,
 }
 
 /// A streamed response whose events are read one by one.
@@ -80,7 +80,7 @@
             status: reply.status.as_u16(),
             headers: reply.headers,
             body: String::from_utf8_lossy(&reply.body).into_owned(),
-            taken: start.elapsed(),
+            elapsed: start.elapsed(),
         })
     }
 
--- a/crates/e2e/tests/once.rs
+++ b/crates/e2e/tests/once.rs
@@ -32,7 +32,7 @@
     let reply = stack.caller(1).confirm(&lost).await.unwrap();
     assert_eq!((reply.status, reply.outcome()), (503, Some("unknown")), "{}", reply.body);
     assert!(reply.header("retry-after").is_some());
-    assert!(reply.taken < time::Duration::from_secs(1), "rejected after {:?}", reply.taken);
+    assert!(reply.elapsed < time::Duration::from_secs(1), "rejected after {:?}", reply.elapsed);
 
     // Keys of other servers still run.
     for server in ["yard-2", "yard-3"] {
@@ -58,7 +58,7 @@
     for _ in 0..5 {
         let reply = stack.caller(0).confirm(&key).await.unwrap();
         assert_eq!(reply.outcome(), Some("unknown"), "{}", reply.body);
-        assert!(reply.taken < time::Duration::from_millis(500), "after {:?}", reply.taken);
+        assert!(reply.elapsed < time::Duration::from_millis(500), "after {:?}", reply.elapsed);
     }
 }
 
--- a/crates/e2e/tests/platform_plain.rs
+++ b/crates/e2e/tests/platform_plain.rs
@@ -67,7 +67,11 @@
         assert_eq!(site.runs(&attempt), runs, "{fault:?} {path}: {}", site.edges[0].log());
         let has_retry_after = reply.headers.contains_key("retry-after");
         assert_eq!(has_retry_after, status == 503, "{fault:?} {path}");
-        assert!(reply.taken < time::Duration::from_millis(2_000), "{fault:?}: {:?}", reply.taken);
+        assert!(
+            reply.elapsed < time::Duration::from_millis(2_000),
+            "{fault:?}: {:?}",
+            reply.elapsed
+        );
     }
     Ok(())
 }
--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -95,7 +95,7 @@
     let reply = site.edges[0].call(Method::POST, site::STREAM, "a1", "body").await?;
     assert_eq!(reply.status, 503);
     assert!(reply.headers.contains_key("retry-after"), "{reply:?}");
-    assert!(reply.taken < time::Duration::from_millis(600), "{:?}", reply.taken);
+    assert!(reply.elapsed < time::Duration::from_millis(600), "{:?}", reply.elapsed);
     assert_eq!(site.runs("a1"), 0);
     assert_eq!(site.outstanding(), 0, "no prompt is prefilled without a decode slot");
     Ok(())
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -114,7 +114,7 @@
     if reply.status == 200 && !is_complete && !(reply.body.is_none() && may_truncate) {
         violations.push(violation(Invariant::Intact, record, "unexpected response body"));
     }
-    if reply.taken > record.kind.timeout() + TIMEOUT_MARGIN && !overlaps_fault(history, record) {
+    if reply.elapsed > record.kind.timeout() + TIMEOUT_MARGIN && !overlaps_fault(history, record) {
         violations.push(violation(Invariant::Deadline, record, "exceeded the timeout"));
     }
     violations
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -16,7 +16,7 @@
         headers.insert("x-response-seal", header::HeaderValue::from_static("seal"));
     }
     let body = body.map(str::to_string);
-    call::Reply { status, headers, body, taken: time::Duration::from_millis(80) }
+    call::Reply { status, headers, body, elapsed: time::Duration::from_millis(80) }
 }
 
 fn rejection() -> call::Reply {
@@ -123,7 +123,7 @@
 #[test]
 fn late_answer() {
     let mut slow = reply(200, false, Some("body of a1"));
-    slow.taken = site::PLAIN_TIMEOUT + time::Duration::from_secs(2);
+    slow.elapsed = site::PLAIN_TIMEOUT + time::Duration::from_secs(2);
     assert_eq!(violated(record(Kind::Safe, End::Answer(slow)), &[], 1), [Invariant::Deadline]);
 }
 
