--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -46,7 +46,7 @@
     let site = site::Site::start(site::Sizes::default()).await?;
     site.decode[0].set_fault(fault);
     for number in 0..MAX_CALLS {
-        if site.decode[0].faulted() >= MIN_HITS {
+        if site.decode[0].fault_hits() >= MIN_HITS {
             break;
         }
         let attempt = format!("r{number}");
@@ -62,7 +62,7 @@
         assert!(is_complete || is_cut_off || is_local_error, "{fault:?}: {reply:?}");
         assert!(!must_serve || is_complete, "{fault:?}: the request must be served elsewhere");
     }
-    let hits = site.decode[0].faulted();
+    let hits = site.decode[0].fault_hits();
     assert!(hits >= MIN_HITS, "{fault:?} was hit only {hits} times");
     assert!(is_released(&site).await, "{fault:?}: an engine still holds memory");
     Ok(())
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -39,7 +39,7 @@
     // Number of restarts.
     born: u64,
     // Number of requests received while a fault was set.
-    faulted: u64,
+    fault_hits: u64,
 }
 
 /// Creation times of holds or prefill results, by name.
@@ -155,8 +155,8 @@
     }
 
     /// Number of requests received while a fault was set.
-    pub fn faulted(&self) -> u64 {
-        self.state().faulted
+    pub fn fault_hits(&self) -> u64 {
+        self.state().fault_hits
     }
 
     /// Number of runs by attempt id.
@@ -194,7 +194,7 @@
         let content = response::read_body(body, 1 << 23).await.unwrap_or_default();
         let fault = {
             let mut state = self.state();
-            state.faulted += u64::from(state.fault != Fault::None);
+            state.fault_hits += u64::from(state.fault != Fault::None);
             state.fault
         };
         let expected = header_text(&parts.headers, "x-expect-instance");
