--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -266,7 +266,7 @@
     /// Run counts and fencing numbers.
     pub runs: sync::Arc<plain::Runs>,
     /// Duration of one fetch from the weight store; the lock makes fetches run one at a time.
-    pub weights: sync::Arc<lock::Mutex<time::Duration>>,
+    pub fetch_time: sync::Arc<lock::Mutex<time::Duration>>,
     /// Client for transfers between engines.
     pub client: client::Client,
 }
@@ -274,7 +274,7 @@
 impl Deps {
     /// Fetches one set of weights.
     pub async fn fetch_weights(&self) {
-        let fetch_time = self.weights.lock().await;
+        let fetch_time = self.fetch_time.lock().await;
         tokio::time::sleep(*fetch_time).await;
     }
 }
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -38,7 +38,7 @@
     let address = listener.local_addr()?;
     let delays = routes::Delays {
         list_lag: time::Duration::from_millis(options.lag_ms),
-        weight_time: time::Duration::from_millis(options.weight_ms),
+        fetch_time: time::Duration::from_millis(options.weight_ms),
     };
     let fakes = sync::Arc::new(routes::Fakes::new(address, delays));
     println!("listening http={address}");
--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -28,7 +28,7 @@
     /// Delay until a change shows in the instance list.
     pub list_lag: time::Duration,
     /// Duration of one fetch from the weight store.
-    pub weight_time: time::Duration,
+    pub fetch_time: time::Duration,
 }
 
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
@@ -47,7 +47,7 @@
             deps: engine::Deps {
                 switches: sync::Arc::default(),
                 runs: sync::Arc::default(),
-                weights: sync::Arc::new(lock::Mutex::new(delays.weight_time)),
+                fetch_time: sync::Arc::new(lock::Mutex::new(delays.fetch_time)),
                 client: client::Client::new(),
             },
         }
