--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -24,17 +24,24 @@
 
 #[derive(Debug, Default)]
 struct State {
+    // Cancel signal of each stream, by id.
     streams: collections::BTreeMap<String, sync::Arc<lock::Notify>>,
-    results: collections::BTreeMap<String, Cached>,
+    // Prefill results by handle.
+    results: collections::BTreeMap<String, StoredResult>,
+    // Cached prefixes of prompts, least recently used first.
     prefixes: collections::VecDeque<String>,
+    // Number of running prefills.
     prefilling: u32,
+    // Number of tokens prefilled so far.
     prefilled: u64,
+    // Loaded weights, version and adapters.
     model: String,
+    // Number of streams after each recent change, oldest first.
     loads: collections::VecDeque<(time::Instant, u32)>,
 }
 
 #[derive(Debug)]
-struct Cached {
+struct StoredResult {
     tokens: u32,
     evicted_at: time::Instant,
 }
@@ -71,21 +78,29 @@
 
 /// Slots for requests in the decode memory of an engine.
 pub const SLOTS: u32 = 20;
+/// Duration of one decode step, without the share of each running stream.
 const STEP_BASE: time::Duration = time::Duration::from_millis(4);
 const STEP_PER_STREAM: time::Duration = time::Duration::from_micros(200);
+/// Duration of a prefill, without the share of each uncached token.
 const PREFILL_BASE: time::Duration = time::Duration::from_millis(10);
 const PREFILL_PER_TOKEN: time::Duration = time::Duration::from_micros(60);
 const TRANSFER_PER_TOKEN: time::Duration = time::Duration::from_micros(4);
+/// Time for which a prefill result is stored.
 const RESULT_TTL: time::Duration = time::Duration::from_millis(800);
+/// Age of the load that an engine reports.
 const LOAD_LAG: time::Duration = time::Duration::from_millis(300);
+/// Length of a cached prefix in characters.
 const PREFIX_CHARS: usize = 256;
+/// Number of prefixes that an engine caches.
 const MAX_PREFIXES: usize = 32;
+/// Number of chunks of a stream that are sent ahead of the receiver.
 const CHANNEL_CAPACITY: usize = 8;
+/// Timeout of a transfer from another engine.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 type Reply = Response<response::Body>;
 
-/// Reserved slot of one stream, freed when the stream ends or its connection is closed.
+/// Slot of one stream, freed when the stream ends or its connection is closed.
 struct Reservation {
     engine: sync::Arc<Engine>,
     id: String,
@@ -118,11 +133,11 @@
     pub fn held(&self) -> u64 {
         let mut state = self.lock();
         let now = clock::now();
-        state.results.retain(|_, cached| cached.evicted_at > now);
+        state.results.retain(|_, result| result.evicted_at > now);
         state.streams.len() as u64 + state.results.len() as u64 + u64::from(state.prefilling)
     }
 
-    /// Answers a call.
+    /// Answers a call to the endpoint `path`.
     pub async fn call(self: &sync::Arc<Self>, deps: &Deps, path: &str, content: &Bytes) -> Reply {
         match path {
             "/prefill" => self.prefill(deps, content).await,
@@ -169,7 +184,7 @@
         let evicted_at = clock::now() + RESULT_TTL;
         let mut state = self.lock();
         state.prefilled += u64::from(count);
-        state.results.insert(order.id.clone(), Cached { tokens: count, evicted_at });
+        state.results.insert(order.id.clone(), StoredResult { tokens: count, evicted_at });
         drop(state);
         let reply = json!({ "source": self.url, "handle": order.id, "tokens": count });
         response::json(StatusCode::OK, &reply)
@@ -194,11 +209,11 @@
     async fn export(&self, handle: &str) -> Reply {
         let _guard = self.transfer_lock.lock().await;
         let now = clock::now();
-        let cached = self.lock().results.remove(handle).filter(|cached| cached.evicted_at > now);
-        let Some(cached) = cached else {
+        let result = self.lock().results.remove(handle).filter(|result| result.evicted_at > now);
+        let Some(result) = result else {
             return response::text(StatusCode::GONE, "evicted");
         };
-        tokio::time::sleep(TRANSFER_PER_TOKEN * cached.tokens).await;
+        tokio::time::sleep(TRANSFER_PER_TOKEN * result.tokens).await;
         response::text(StatusCode::OK, "kv")
     }
 
@@ -306,7 +321,8 @@
     cancelled: sync::Arc<lock::Notify>,
 ) {
     let count = tokens::length(&order.prompt, order.max_tokens);
-    // If this target is not up, the engine keeps generating after the connection is closed.
+    // If the target `NAME-closes` is not up, the engine keeps generating after its connection is
+    // closed.
     let ignores_close =
         switches.mode(&format!("{}-closes", reservation.engine.name)) != switch::Mode::Up;
     let name = &reservation.engine.name;
