--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -34,10 +34,12 @@
     runs: collections::BTreeMap<String, u32>,
     requests: Vec<ReceivedRequest>,
     holds: CreationTimes,
+    // Number of accepted orders.
     orders: u64,
+    // Highest fencing number of an accepted order.
     fence: u64,
     // Number of restarts.
-    born: u64,
+    restarts: u64,
     // Number of requests received while a fault was set.
     fault_hits: u64,
 }
@@ -47,7 +49,7 @@
 /// Prefill results of all engines of a deployment, by handle.
 pub type Handles = sync::Arc<sync::Mutex<CreationTimes>>;
 
-/// A request that a server executed.
+/// An executed request, as the server received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Path and query.
@@ -100,6 +102,8 @@
 const EVENT_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Duration of [`Fault::Pauses`].
 const PREEMPTION_PAUSE: time::Duration = time::Duration::from_millis(2_500);
+/// Maximum size of a request body in bytes; a longer body is read as empty.
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// Exceeds every timeout of a caller.
 const HANG_TIME: time::Duration = time::Duration::from_secs(600);
 
@@ -141,12 +145,12 @@
         state.holds.clear();
         state.orders = 0;
         state.fence = 0;
-        state.born += 1;
+        state.restarts += 1;
     }
 
-    /// Number of the current start, published in its row as `born`.
+    /// Number of starts including the current one, published in the server's row as `born`.
     pub fn born(&self) -> u64 {
-        self.state().born + 1
+        self.state().restarts + 1
     }
 
     /// Sets the fault from now on.
@@ -191,7 +195,7 @@
 
     async fn handle(&self, request: Request<body::Incoming>) -> Response<response::Body> {
         let (parts, body) = request.into_parts();
-        let content = response::read_body(body, 1 << 23).await.unwrap_or_default();
+        let content = response::read_body(body, MAX_BODY_BYTES).await.unwrap_or_default();
         let fault = {
             let mut state = self.state();
             state.fault_hits += u64::from(state.fault != Fault::None);
