--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -276,7 +276,7 @@
 /// State and resources that all engines share.
 #[derive(Clone, Debug)]
 pub struct Deps {
-    /// Modes of the stand-ins.
+    /// Modes of the fakes.
     pub switches: sync::Arc<switch::Switches>,
     /// Run counts and fencing numbers.
     pub runs: sync::Arc<plain::Runs>,
--- a/crates/fakes/src/instances.rs
+++ b/crates/fakes/src/instances.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the instance list, whose changes become visible after a delay.
+//! Fake of the instance list, whose changes become visible after a delay.
 
 use std::{collections, sync, time};
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the platform's services and the backend servers, for tests and the demo.
+//! Fakes of the platform's services and of the backend servers, for tests and the demo.
 //!
-//! All stand-ins of a deployment run in one process and are addressed by path. Their state is kept
-//! in memory and lost when the process ends.
+//! The fakes of a deployment run in one process and are addressed by path. `backend` and `store`
+//! imitate the users' platform instead; a test serves them on addresses of their own. All state is
+//! kept in memory and lost when the process ends.
 //!
 //! ```
 //! use rhubarb_fakes::tokens;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins of a deployment in one process.
+//! Runs the fakes of a deployment in one process.
 
 use std::{net, sync, time};
 
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the object store.
+//! Fake of the object store.
 
 use std::{collections, sync};
 
--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of the stand-ins' HTTP server.
+//! Routes of the fakes' HTTP server.
 
 use std::{collections, net, sync, time};
 
@@ -11,7 +11,7 @@
 
 use crate::{engine, instances, objects, plain, switch, table};
 
-/// All stand-ins of a deployment.
+/// All fakes of a deployment.
 #[derive(Debug)]
 pub struct Fakes {
     base: String,
@@ -22,7 +22,7 @@
     deps: engine::Deps,
 }
 
-/// Delays of the stand-ins.
+/// Delays of the fakes.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
     /// Delay until a change shows in the instance list.
@@ -36,7 +36,7 @@
 type Reply = Response<response::Body>;
 
 impl Fakes {
-    /// Creates the stand-ins, whose engines reach each other through `address`.
+    /// Creates the fakes, whose engines reach each other through `address`.
     pub fn new(address: net::SocketAddr, delays: Delays) -> Fakes {
         Fakes {
             base: format!("http://{address}"),
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the store of the users' platform, with its published API for rows and objects.
+//! Fake of the store of the users' platform, with its published API for rows and objects.
 
 use std::{collections, net, sync, time};
 
--- a/crates/fakes/src/switch.rs
+++ b/crates/fakes/src/switch.rs
@@ -1,4 +1,4 @@
-//! Switches that inject faults into the stand-ins.
+//! Switches that inject faults into the fakes.
 
 use std::{collections, sync, time};
 
@@ -6,7 +6,7 @@
 
 use rhubarb_node::locks;
 
-/// Mode of a stand-in.
+/// Mode of a fake.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     /// Works normally.
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the table service: versioned rows, conditional writes and transactions.
+//! Fake of the table service: versioned rows, conditional writes and transactions.
 
 use std::{collections, sync, time};
 
