--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -19,6 +19,7 @@
 
 /// Header that carries the fencing number of an agent.
 pub const FENCE_HEADER: &str = "rhubarb-fence";
+/// Maximum size of a response of `/bytes`, in bytes.
 const MAX_BYTES: usize = 16 * 1024 * 1024;
 
 impl Runs {
