--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -83,11 +83,13 @@
 
 /// Delay of each call in slow mode.
 const SLOW_DELAY: time::Duration = time::Duration::from_millis(900);
+/// Maximum size of a row transaction in bytes.
+const MAX_TRANSACTION_BYTES: usize = 1 << 20;
 /// Maximum size of one object in bytes.
 const MAX_OBJECT_BYTES: usize = 8 << 20;
 /// Object names on one page; fewer than on the platform, so that few objects fill several pages.
 const PAGE_SIZE: usize = 2;
-/// Exceeds every timeout of a caller.
+/// Exceeds every timeout of an entry.
 const HANG_TIME: time::Duration = time::Duration::from_secs(600);
 
 impl Store {
@@ -174,7 +176,8 @@
             (&Method::GET, "/v1/rows-get") => self.read_rows(&query),
             (&Method::GET, "/v1/rows-feed") => self.feed(&query).await,
             (&Method::POST, "/v1/rows-tx") => {
-                let content = response::read_body(body, 1 << 20).await.unwrap_or_default();
+                let content =
+                    response::read_body(body, MAX_TRANSACTION_BYTES).await.unwrap_or_default();
                 let reply = self.write_rows(&content);
                 if mode == Mode::LostReplies {
                     tokio::time::sleep(HANG_TIME).await;
@@ -245,13 +248,13 @@
         let table = parameter(query, "table");
         let after = parameter(query, "after").parse().unwrap_or(0);
         let wait = parameter(query, "wait_ms").parse().unwrap_or(0);
-        let until = tokio::time::Instant::now() + time::Duration::from_millis(wait);
+        let deadline = tokio::time::Instant::now() + time::Duration::from_millis(wait);
         loop {
             let changed = self.inner.changed.notified();
             if let Some(reply) = self.rows_since(&table, after) {
                 return reply;
             }
-            if tokio::time::timeout_at(until, changed).await.is_err() {
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
                 let version = self.state().version;
                 return response::json(StatusCode::OK, &json!({"rows": [], "ver": version}));
             }
