--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -104,7 +104,7 @@
 const PREEMPTION_PAUSE: time::Duration = time::Duration::from_millis(2_500);
 /// Maximum size of a request body in bytes; a longer body is read as empty.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// Exceeds every timeout of a caller.
+/// Exceeds every timeout of an entry.
 const HANG_TIME: time::Duration = time::Duration::from_secs(600);
 
 impl Backend {
