--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,5 +1,9 @@
 //! Starts complete deployments as separate processes on loopback, for the end-to-end tests.
 //!
+//! `stack` starts entries with agents in front of the servers; `caller` sends requests to them.
+//! `site` starts entries on the users' platform, which has no agents; `edge` is one such entry, and
+//! `call` sends requests to it.
+//!
 //! ```no_run
 //! # async fn example() -> anyhow::Result<()> {
 //! use rhubarb_e2e::stack;
