--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -12,6 +12,8 @@
 pub(crate) const HOST: &str = "x.example";
 /// Timeout of a request; longer than the timeout of any route.
 pub(crate) const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Maximum size of a response body in bytes; a longer one counts as cut off.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// A request to an entry.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +49,7 @@
             request.headers_mut().insert(name, value);
         }
         let (head, body) = client.send(request, CALL_TIMEOUT).await?.into_parts();
-        let reading = response::read_body(body, 1 << 20);
+        let reading = response::read_body(body, MAX_BODY_BYTES);
         let body = tokio::time::timeout(CALL_TIMEOUT, reading).await.unwrap_or(None);
         Ok(Reply {
             status: head.status.as_u16(),
