--- a/crates/e2e/src/edge.rs
+++ b/crates/e2e/src/edge.rs
@@ -84,7 +84,7 @@
         let _ = self.child.wait();
     }
 
-    /// Exit code, once the process has ended.
+    /// Exit code, once the process has ended; -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
@@ -126,7 +126,7 @@
     }
 }
 
-/// Starts an entry process with a settings file and appends its output to `log`.
+/// Starts an entry process with a settings file and appends its standard output to `log`.
 pub(crate) fn spawn(settings: &path::Path, log: &path::Path) -> anyhow::Result<process::Child> {
     process::Command::new(programs::program_path("rhubarb-edge"))
         .env("RHUBARBLOOM_NODE_FILE", settings)
