--- a/crates/e2e/src/process.rs
+++ b/crates/e2e/src/process.rs
@@ -15,7 +15,7 @@
     pid: signals::Pid,
     /// HTTP address.
     pub http: net::SocketAddr,
-    /// Address at which an agent accepts entries; `None` for other processes.
+    /// Address at which an agent accepts connections of entries; `None` for other processes.
     pub peer: Option<net::SocketAddr>,
 }
 
