--- a/crates/e2e/src/relay.rs
+++ b/crates/e2e/src/relay.rs
@@ -31,14 +31,16 @@
     pub to_target: Mode,
     /// Mode from the target to the entry.
     pub to_entry: Mode,
+    // Number of calls of `Relay::blackhole`; a connection compares it with the number at its start.
     blackholes: u64,
+    // Likewise for `Relay::disconnect`.
     disconnects: u64,
 }
 
 /// A relay that listens on its own port.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Address to publish in place of the target.
+    /// Address to publish in place of the target's.
     pub address: net::SocketAddr,
     modes: sync::Arc<watch::Sender<Modes>>,
 }
