--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -29,7 +29,7 @@
     subnet: [u8; 2],
 }
 
-/// Number of processes and servers of a deployment.
+/// Numbers of processes and servers of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
     /// Entry processes.
@@ -141,7 +141,7 @@
         self.store.put("servers", &backend.id, row.to_string());
     }
 
-    /// Puts a relay with a new address in front of a server. The old relay drops its connections
+    /// Puts a relay with a new address in front of a server. The old relay closes its connections
     /// and forwards nothing on new ones.
     ///
     /// # Errors
