--- a/crates/e2e/src/stack.rs
+++ b/crates/e2e/src/stack.rs
@@ -21,7 +21,7 @@
     pub relays: bool,
     /// Interval between usage records, as a setting.
     pub flush_interval: String,
-    /// Maximum size in bytes of the responses that an agent stores.
+    /// Maximum total size in bytes of the responses that an agent stores.
     pub answer_bytes: usize,
 }
 
@@ -111,7 +111,7 @@
     pub async fn wait_ready(&self) {
         let all = self.entries.iter().chain(self.agents.values());
         for address in all.map(|process| process.http) {
-            self.wait_until("all are ready", async || self.is_ready(address).await).await;
+            self.wait_until("all processes are ready", async || self.is_ready(address).await).await;
         }
     }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Waits until every entry counts all servers as usable.
+    /// Waits until every entry reports all servers as usable.
     pub async fn wait_usable(&self) {
         let count = ENGINE_SERVERS.len() + PLAIN_SERVERS.len();
         for address in self.entries.iter().map(|entry| entry.http) {
