--- a/crates/e2e/benches/exchange.rs
+++ b/crates/e2e/benches/exchange.rs
@@ -10,7 +10,9 @@
 
 /// Numbers of entries to measure.
 const ENTRY_COUNTS: [usize; 3] = [5, 24, 200];
+/// Time before the first sample.
 const WARMUP: time::Duration = time::Duration::from_secs(8);
+/// Time between two samples.
 const DURATION: time::Duration = time::Duration::from_secs(10);
 /// Concurrent streams, over all entries.
 const STREAMS: usize = 24;
