--- a/crates/e2e/benches/overhead.rs
+++ b/crates/e2e/benches/overhead.rs
@@ -10,7 +10,9 @@
 use rhubarb_e2e::stack;
 use rhubarb_node::client;
 
+/// Number of calls of each kind.
 const CALLS: usize = 200;
+/// Number of tokens of each completion.
 const TOKENS: u32 = 16;
 const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
