--- a/crates/e2e/tests/lists.rs
+++ b/crates/e2e/tests/lists.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn concurrent_applies() {
+async fn conflicting_apply() {
     let stack = stack::Stack::start(stack::Plan::default()).await.unwrap();
     stack.apply(&edited_list(1), 1).unwrap();
     let conflict = stack.apply(&edited_list(2), 1).unwrap_err().to_string();
