--- a/crates/e2e/tests/plain.rs
+++ b/crates/e2e/tests/plain.rs
@@ -73,11 +73,11 @@
         let caller = caller.clone();
         async move { caller.call(Method::POST, path, &[], body).await.unwrap() }
     };
-    let no_key = unauthorized.call(Method::GET, "/yard-app/x", &[], "").await.unwrap();
+    let wrong_caller_key = unauthorized.call(Method::GET, "/yard-app/x", &[], "").await.unwrap();
     let invalid_deadline =
         caller.call(Method::GET, "/yard-app/x", &[("rhubarb-deadline-ms", "soon")], "");
     let cases = [
-        (no_key, 401, "unknown-caller"),
+        (wrong_caller_key, 401, "unknown-caller"),
         (get("/nowhere/x").await, 404, "no-service"),
         (get("/v1/completions").await, 405, "bad-method"),
         (post("/v1/completions", "{").await, 400, "bad-request"),
