--- a/crates/e2e/tests/platform_stops.rs
+++ b/crates/e2e/tests/platform_stops.rs
@@ -29,7 +29,10 @@
     assert_eq!((late.status, &late.headers["connection"]), (200, &"close".parse()?));
     let start = time::Instant::now();
     while site.edges[0].exit_code().is_none() {
-        assert!(start.elapsed() < time::Duration::from_secs(8), "the entry does not exit in time");
+        assert!(
+            start.elapsed() < time::Duration::from_secs(8),
+            "the entry does not exit within 8 s"
+        );
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
     assert_eq!(site.edges[0].exit_code(), Some(0));
@@ -42,7 +45,7 @@
 #[tokio::test]
 async fn request_during_exit() -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
-    // The last record and all responses take until their timeouts.
+    // Writing the last record and answering a request both wait until their timeouts.
     site.store.set_mode(store::Mode::Unresponsive);
     for plain in &site.plain {
         plain.set_fault(backend::Fault::Hangs);
@@ -52,7 +55,7 @@
     while !edge.log().contains("edge: stopped") {
         tokio::time::sleep(time::Duration::from_millis(2)).await;
     }
-    // Sends calls on new connections for longer than the record takes.
+    // Sends calls on new connections for longer than it takes to write the record.
     let deadline = time::Instant::now() + time::Duration::from_millis(400);
     let send_calls = async |name: &str| {
         for number in 0.. {
