--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -201,8 +201,8 @@
     Ok(())
 }
 
-// Guards against an entry that copied its state from a peer and, after an outage of the store,
-// dropped servers whose expired rows the peer still waited for. Seen in an incident.
+// Guards against an entry that copies its state from a peer after an outage of the store and then
+// removes servers that the peer still keeps although their rows have expired. Seen in an incident.
 #[tokio::test]
 async fn expired_at_peer() -> anyhow::Result<()> {
     let mut site = site::Site::start(site::Sizes::default()).await?;
