--- a/crates/e2e/tests/platform_streams.rs
+++ b/crates/e2e/tests/platform_streams.rs
@@ -10,7 +10,8 @@
 
 use backend::Fault;
 
-async fn is_released(site: &site::Site) -> bool {
+// Waits until no engine holds memory; returns false if one still does after 3 s.
+async fn wait_released(site: &site::Site) -> bool {
     for _ in 0..60 {
         if site.outstanding() == 0 {
             return true;
@@ -31,7 +32,7 @@
     let seen: Vec<_> = site.decode.iter().flat_map(|decode| decode.requests()).collect();
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-source")));
     assert!(seen.iter().all(|seen| seen.headers.contains_key("x-kv-hold")));
-    assert!(is_released(&site).await, "an engine still holds memory");
+    assert!(wait_released(&site).await, "an engine still holds memory");
     Ok(())
 }
 
@@ -40,7 +41,7 @@
 /// Requests that must hit a fault: a hold, a stream, and one more of each.
 const MIN_HITS: u64 = 4;
 
-// Gives one decode engine the fault. The caller must receive a complete response, an error or a
+// Sets the fault of one decode engine. The caller must receive a complete response, an error or a
 // response that is visibly cut off; with `must_serve`, a complete one.
 async fn check_fault(fault: Fault, must_serve: bool) -> anyhow::Result<()> {
     let site = site::Site::start(site::Sizes::default()).await?;
@@ -64,7 +65,7 @@
     }
     let hits = site.decode[0].fault_hits();
     assert!(hits >= MIN_HITS, "{fault:?} was hit only {hits} times");
-    assert!(is_released(&site).await, "{fault:?}: an engine still holds memory");
+    assert!(wait_released(&site).await, "{fault:?}: an engine still holds memory");
     Ok(())
 }
 
@@ -123,7 +124,7 @@
     let call = site.edges[0].call(Method::POST, site::STREAM, "a1", "body");
     assert!(tokio::time::timeout(time::Duration::from_millis(400), call).await.is_err());
     let start = time::Instant::now();
-    assert!(is_released(&site).await, "the engine still runs a request of a disconnected caller");
+    assert!(wait_released(&site).await, "the engine still runs a request of a disconnected caller");
     assert!(start.elapsed() < time::Duration::from_millis(500));
     Ok(())
 }
@@ -171,7 +172,7 @@
         let reply = edge.call_with(Method::POST, site::STREAM, &id, "b", &[usage]).await?;
         assert_eq!(reply.body, Some(site::full_stream()));
     }
-    // The six events span 80 ms, one pause between events not counted.
+    // The entry measures the decode time without the longest gap: 4 gaps of 20 ms, thus 80 ms.
     let headers = [usage, ("x-length-hint", "6"), ("x-deadline-ms", "45")];
     let reply = edge.call_with(Method::POST, site::STREAM, "late", "b", &headers).await?;
     assert_eq!(reply.status, 503);
