--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -133,8 +133,8 @@
 
 #[tokio::test]
 async fn stage_lease_held() -> anyhow::Result<()> {
-    // Responses are short and a single engine prefills all prompts, so other engines are switched to
-    // prefill.
+    // Responses are short and a single engine prefills all prompts, so other engines are switched
+    // to prefill.
     let sizes = site::Sizes { edges: 2, plain: 1, prefill: 1, decode: 9, relays: false };
     let site = site::Site::start(sizes).await?;
     for round in 0..100 {
