--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -14,11 +14,14 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) history: sync::Mutex<record::History>,
+    /// Addresses of the entries.
     pub(crate) edges: Vec<net::SocketAddr>,
     /// Latest version of the config in the store.
     pub(crate) version: atomic::AtomicU64,
+    /// Whether callers and probes have to end.
     pub(crate) stopped: atomic::AtomicBool,
-    pub(crate) seq: atomic::AtomicU64,
+    /// Number of the next attempt id.
+    pub(crate) next_attempt: atomic::AtomicU64,
 }
 
 /// Share of the requests that their caller abandons.
@@ -60,7 +63,7 @@
     edge: usize,
     kind: record::Kind,
 ) -> record::Record {
-    let attempt = format!("s{}", shared.seq.fetch_add(1, atomic::Ordering::Relaxed));
+    let attempt = format!("s{}", shared.next_attempt.fetch_add(1, atomic::Ordering::Relaxed));
     let body = format!("body of {attempt}");
     let call = call::Call { path: kind.path(), attempt: &attempt, body: &body, headers: &[] };
     let began = time::Instant::now();
@@ -98,7 +101,7 @@
     version: u64,
 ) -> Option<record::ConfigProbe> {
     let host = site::version_host(version);
-    let attempt = format!("look{}", shared.seq.fetch_add(1, atomic::Ordering::Relaxed));
+    let attempt = format!("look{}", shared.next_attempt.fetch_add(1, atomic::Ordering::Relaxed));
     let headers = [("host", host.as_str())];
     let call = call::Call { path: "/", attempt: &attempt, body: "", headers: &headers };
     let reply = call.send(client, Method::GET, shared.edges[edge]).await.ok()?;
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -48,7 +48,7 @@
         edges: site.edges.iter().map(|edge| edge.frontend).collect(),
         version: atomic::AtomicU64::new(1),
         stopped: atomic::AtomicBool::new(false),
-        seq: atomic::AtomicU64::new(0),
+        next_attempt: atomic::AtomicU64::new(0),
     });
     let mut tasks: Vec<_> =
         (0..plan.callers).map(|_| tokio::spawn(callers::run(shared.clone()))).collect();
