--- a/crates/soak/src/injector.rs
+++ b/crates/soak/src/injector.rs
@@ -20,10 +20,10 @@
 /// Time limit of a graceful stop: the grace period of 8 s and a margin.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(10);
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// Time after which a started process listens.
-const START_TIME: time::Duration = time::Duration::from_secs(1);
+/// Time from the start of a process until it listens.
+const START_DURATION: time::Duration = time::Duration::from_secs(1);
 /// Time in which a resumed entry handles the requests that arrived while it was frozen.
-const RESUME_TIME: time::Duration = time::Duration::from_millis(500);
+const RESUME_DURATION: time::Duration = time::Duration::from_millis(500);
 
 impl Injector {
     /// Applies one change.
@@ -40,7 +40,7 @@
             }
             plan::Change::Resume(edge) => {
                 self.site.edges[edge].signal(Signal::CONT);
-                self.close_windows(edge, RESUME_TIME);
+                self.close_windows(edge, RESUME_DURATION);
             }
             plan::Change::Stop(edge) => {
                 self.open_window(edge, record::EntryFault::Stopped);
@@ -72,8 +72,8 @@
         let relay = |number: usize| &self.site.relays[&servers[number].id];
         match change {
             plan::Change::ServerFault(number, fault) => server(number).set_fault(fault),
-            plan::Change::HoldTraffic(number, is_held) => {
-                let mode = if is_held { relay::Mode::Buffer } else { relay::Mode::Forward };
+            plan::Change::HoldTraffic(number, is_buffered) => {
+                let mode = if is_buffered { relay::Mode::Buffer } else { relay::Mode::Forward };
                 relay(number).set_modes(mode, mode);
             }
             plan::Change::CloseConnections(number) => relay(number).disconnect(),
@@ -102,7 +102,7 @@
             self.wait_stopped(edge).await;
         }
         self.site.restart_edge(edge)?;
-        self.close_windows(edge, START_TIME);
+        self.close_windows(edge, START_DURATION);
         Ok(())
     }
 
@@ -112,8 +112,8 @@
         open.any(|window| window.edge == edge && window.fault == record::EntryFault::Stopped)
     }
 
-    // Waits until the entry exits. Records a violation if that takes longer than `STOP_LIMIT` or the
-    // exit code is not 0.
+    // Waits until the entry exits. Records a violation if that takes longer than `STOP_LIMIT` or
+    // the exit code is not 0.
     async fn wait_stopped(&mut self, edge: usize) {
         let deadline = time::Instant::now() + STOP_LIMIT;
         loop {
