--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -101,7 +101,8 @@
     random: rngs::StdRng,
     edges: usize,
     servers: usize,
-    // Time at which the last fault of each entry ends; an entry has one fault at a time.
+    // Time at which the last fault of each entry ends. An entry has one fault at a time; one drawn
+    // before that time is skipped.
     free_at: Vec<time::Duration>,
     steps: Vec<Step>,
 }
