--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Time limit for recovery after the last fault; `recover_s` of the platform.
+/// Time limit for recovery after the last fault, the platform's `recover_s`.
 const RECOVERY_LIMIT: time::Duration = time::Duration::from_secs(15);
 /// Time limit for engines to free the memory of abandoned requests and of killed entries.
 const FREE_LIMIT: time::Duration = time::Duration::from_secs(8);
@@ -117,8 +117,9 @@
     let deadline = time::Instant::now() + FREE_LIMIT;
     while injector.site.outstanding_unexpired() > 0 {
         if time::Instant::now() >= deadline {
-            let kept = injector.site.outstanding_unexpired();
-            let detail = format!("{kept} holds, prefill results or requests remain at engines");
+            let remaining = injector.site.outstanding_unexpired();
+            let detail =
+                format!("{remaining} holds, prefill results or requests remain at engines");
             injector
                 .violations
                 .push(check::Violation { invariant: check::Invariant::NoLeak, detail });
