--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -10,9 +10,9 @@
 use check::Invariant;
 use record::{End, EntryFault, Kind};
 
-fn reply(status: u16, is_own: bool, body: Option<&str>) -> call::Reply {
+fn reply(status: u16, is_local: bool, body: Option<&str>) -> call::Reply {
     let mut headers = HeaderMap::new();
-    if !is_own {
+    if !is_local {
         headers.insert("x-response-seal", header::HeaderValue::from_static("seal"));
     }
     let body = body.map(str::to_string);
