--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -12,6 +12,8 @@
 pub(crate) const HOST: &str = "x.example";
 /// Timeout of a request; longer than the timeout of any route.
 pub(crate) const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Maximum size of a response body in bytes; a longer one counts as cut off.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// A request to an entry.
 #[derive(Clone, Copy, Debug)]
@@ -47,13 +49,13 @@
             request.headers_mut().insert(name, value);
         }
         let (head, body) = client.send(request, CALL_TIMEOUT).await?.into_parts();
-        let reading = response::read_body(body, 1 << 20);
+        let reading = response::read_body(body, MAX_BODY_BYTES);
         let body = tokio::time::timeout(CALL_TIMEOUT, reading).await.unwrap_or(None);
         Ok(Reply {
             status: head.status.as_u16(),
             headers: head.headers,
             body: body.map(|body| String::from_utf8_lossy(&body).into_owned()),
-            taken: start.elapsed(),
+            elapsed: start.elapsed(),
         })
     }
 }
@@ -68,7 +70,7 @@
     /// Response body; `None` if it was cut off.
     pub body: Option<String>,
     /// Time from sending the request to the end of the response.
-    pub taken: time::Duration,
+    pub elapsed: time::Duration,
 }
 
 impl Reply {
--- a/crates/e2e/tests/platform_store.rs
+++ b/crates/e2e/tests/platform_store.rs
@@ -133,8 +133,8 @@
 
 #[tokio::test]
 async fn stage_lease_held() -> anyhow::Result<()> {
-    // Responses are short and a single engine prefills all prompts, so other engines are switched to
-    // prefill.
+    // Responses are short and a single engine prefills all prompts, so other engines are switched
+    // to prefill.
     let sizes = site::Sizes { edges: 2, plain: 1, prefill: 1, decode: 9, relays: false };
     let site = site::Site::start(sizes).await?;
     for round in 0..100 {
@@ -201,8 +201,8 @@
     Ok(())
 }
 
-// Guards against an entry that copied its state from a peer and, after an outage of the store,
-// dropped servers whose expired rows the peer still waited for. Seen in an incident.
+// Guards against an entry that copies its state from a peer after an outage of the store and then
+// removes servers that the peer still keeps although their rows have expired. Seen in an incident.
 #[tokio::test]
 async fn expired_at_peer() -> anyhow::Result<()> {
     let mut site = site::Site::start(site::Sizes::default()).await?;
--- a/crates/fakes/src/routes.rs
+++ b/crates/fakes/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of the stand-ins' HTTP server.
+//! Routes of the fakes' HTTP server.
 
 use std::{collections, net, sync, time};
 
@@ -11,7 +11,7 @@
 
 use crate::{engine, instances, objects, plain, switch, table};
 
-/// All stand-ins of a deployment.
+/// All fakes of a deployment.
 #[derive(Debug)]
 pub struct Fakes {
     base: String,
@@ -22,13 +22,13 @@
     deps: engine::Deps,
 }
 
-/// Delays of the stand-ins.
+/// Delays of the fakes.
 #[derive(Clone, Copy, Debug)]
 pub struct Delays {
     /// Delay until a change shows in the instance list.
     pub list_lag: time::Duration,
     /// Duration of one fetch from the weight store.
-    pub weight_time: time::Duration,
+    pub fetch_time: time::Duration,
 }
 
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
@@ -36,7 +36,7 @@
 type Reply = Response<response::Body>;
 
 impl Fakes {
-    /// Creates the stand-ins, whose engines reach each other through `address`.
+    /// Creates the fakes, whose engines reach each other through `address`.
     pub fn new(address: net::SocketAddr, delays: Delays) -> Fakes {
         Fakes {
             base: format!("http://{address}"),
@@ -47,7 +47,7 @@
             deps: engine::Deps {
                 switches: sync::Arc::default(),
                 runs: sync::Arc::default(),
-                weights: sync::Arc::new(lock::Mutex::new(delays.weight_time)),
+                fetch_time: sync::Arc::new(lock::Mutex::new(delays.fetch_time)),
                 client: client::Client::new(),
             },
         }
