--- a/crates/e2e/src/call.rs
+++ b/crates/e2e/src/call.rs
@@ -20,7 +20,7 @@
 pub struct Call<'a> {
     /// Path and query.
     pub path: &'a str,
-    /// Attempt id, sent as `x-attempt-id`.
+    /// Attempt id that the request carries.
     pub attempt: &'a str,
     /// Request body.
     pub body: &'a str,
